--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -66,7 +66,7 @@
 ///
 /// The id depends only on team and idempotency key, so that a repeat reaches the same owner.
 #[must_use]
-pub fn single_call_program(
+pub fn single_call_program_id(
     region: &str,
     shard_count: u16,
     team: &str,
--- a/crates/coordination/src/journal.rs
+++ b/crates/coordination/src/journal.rs
@@ -95,7 +95,7 @@
     wanted: Cell<bool>,
     stalled: Cell<bool>,
     next_number: Cell<CommitNumber>,
-    pace: Cell<Duration>,
+    min_commit_interval: Cell<Duration>,
     stats: Cell<JournalStats>,
     applier: RefCell<Option<Rc<dyn CommitApplier>>>,
     observer: RefCell<Option<CommitObserver>>,
@@ -130,7 +130,7 @@
             wanted: Cell::new(false),
             stalled: Cell::new(false),
             next_number: Cell::new(1),
-            pace: Cell::default(),
+            min_commit_interval: Cell::default(),
             stats: Cell::default(),
             applier: RefCell::new(None),
             observer: RefCell::new(None),
@@ -192,8 +192,8 @@
     }
 
     /// Sets the shortest time between the starts of two commits; settings may ask for a longer one.
-    pub fn set_pace(&self, pace: Duration) {
-        self.pace.set(pace);
+    pub fn set_min_commit_interval(&self, min_commit_interval: Duration) {
+        self.min_commit_interval.set(min_commit_interval);
     }
 
     /// Waits until everything appended so far is committed or the node is fenced.
@@ -224,7 +224,7 @@
             self.in_flight.set(false);
             let elapsed = self.clock.monotonic().saturating_sub(started);
             self.settle(batch, &result, elapsed);
-            let interval = self.settings.commit_interval.max(self.pace.get());
+            let interval = self.settings.commit_interval.max(self.min_commit_interval.get());
             if let Some(pause) = interval.checked_sub(elapsed) {
                 self.clock.sleep(pause).await;
             }
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -15,7 +15,7 @@
 use snafu::Snafu;
 
 use crate::clock::Clock;
-use crate::rows::{RowRead, RowStoreError, RowWrite, SharedRowStore, VersionedRow, part_of};
+use crate::rows::{RowStoreError, RowWrite, SharedRowStore, VersionedRow, WriteOutcome, part_of};
 
 /// Table of the ledgers.
 pub const LEDGER_TABLE: &str = "ledgers";
@@ -372,7 +372,7 @@
             value: Some(&value),
         };
         match self.store.write(write).await {
-            Ok(RowRead::Written(version)) => {
+            Ok(WriteOutcome::Written(version)) => {
                 cached.is_known = true;
                 cached.row_version = version;
                 cached.ledger = next;
@@ -380,7 +380,7 @@
                 cached.pending = None;
                 Ok(true)
             }
-            Ok(RowRead::Conflict(row)) => {
+            Ok(WriteOutcome::Conflict(row)) => {
                 cached.adopt(row, &self.claimant)?;
                 Ok(cached.ledger == next)
             }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -273,7 +273,7 @@
     /// Returns whether all shards were handed over.
     #[must_use]
     pub fn is_released(&self) -> bool {
-        self.shards.held_count() == 0
+        self.shards.owned_count() == 0
     }
 
     /// Removes the node's row after its shards were handed over.
@@ -312,7 +312,7 @@
         }
         self.heartbeats.cover_until(begun + PROMISE);
         if changed {
-            self.journal.set_pace(self.journal_pace());
+            self.journal.set_min_commit_interval(self.journal_pace());
             self.settled.set(false);
             self.membership.name_reclaimer().await?;
         }
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -21,7 +21,7 @@
     ) {
         let (record, outcome) = Self::end_records(ticket, request, end);
         if outcome.is_err() {
-            self.mark_scattered(&ticket.program);
+            self.mark_unrecorded_backends(&ticket.program);
         }
         if let Some(record) = record {
             let mut records = vec![record];
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -22,7 +22,7 @@
 use refusals::{budget_exhausted, platform_unavailable};
 use table::{Live, ProgramTable, Slot};
 
-pub use table::Unreleased;
+pub use table::UnreleasedProgram;
 pub use types::{Admission, AttemptEnd, CallTicket, OwnerSettings, ProgramSpec};
 
 impl CommitApplier for Owner {
@@ -121,13 +121,13 @@
 
     /// Returns ended programs for which engines may still hold memory.
     #[must_use]
-    pub fn unreleased(&self) -> Vec<Unreleased> {
+    pub fn unreleased(&self) -> Vec<UnreleasedProgram> {
         self.table.unreleased()
     }
 
     /// Notes that backend servers without a recorded answer may hold memory for a program.
-    pub fn mark_scattered(&self, program: &str) {
-        self.table.update(program, |slot| slot.scattered = true);
+    pub fn mark_unrecorded_backends(&self, program: &str) {
+        self.table.update(program, |slot| slot.has_unrecorded_backends = true);
     }
 
     /// Records that no engine holds memory for these programs any more.
@@ -162,25 +162,25 @@
 
     /// Returns the programs of a shard, for a checkpoint or a release.
     #[must_use]
-    pub fn programs_of(&self, shard: ShardId) -> Vec<Program> {
-        self.table.programs_of(shard)
+    pub fn programs_in_shard(&self, shard: ShardId) -> Vec<Program> {
+        self.table.programs_in_shard(shard)
     }
 
     /// Returns whether any call of `shard` is running.
     #[must_use]
-    pub fn is_busy(&self, shard: ShardId) -> bool {
-        self.table.is_busy(shard)
+    pub fn has_running_calls(&self, shard: ShardId) -> bool {
+        self.table.has_running_calls(shard)
     }
 
     /// Takes over recovered programs; attempts without a recorded end become in doubt or failed.
-    pub fn adopt(&self, programs: Vec<Program>) {
+    pub fn insert_recovered(&self, programs: Vec<Program>) {
         let hold_until = self.clock.monotonic() + self.settings.dispatch_window;
         let mut entries = Vec::new();
         for program in programs {
             let id = program.id.clone();
             let unsettled = unsettled_record(&program);
             let mut slot = Slot::new(program, self.clock.monotonic());
-            slot.scattered = true;
+            slot.has_unrecorded_backends = true;
             if let Some(record) = unsettled {
                 slot.hold_until = Some(hold_until);
                 entries.extend(entry(&id, record));
@@ -193,8 +193,8 @@
     }
 
     /// Forgets the programs of a shard that this node no longer owns.
-    pub fn forget(&self, shard: ShardId) {
-        self.table.forget(shard);
+    pub fn remove_shard(&self, shard: ShardId) {
+        self.table.remove_shard(shard);
     }
 
     /// Drops programs that ended before `closed_before_unix_ms`.
--- a/crates/coordination/src/owner/table.rs
+++ b/crates/coordination/src/owner/table.rs
@@ -37,7 +37,7 @@
     /// Time before which no further call may run, after a takeover.
     pub hold_until: Option<Duration>,
     /// Whether backend servers without a recorded answer may hold memory.
-    pub scattered: bool,
+    pub has_unrecorded_backends: bool,
     /// Record of an implicit program that goes into the commit of its first other record.
     pub unrecorded_open: Option<Record>,
     /// Time of the last call's start or end.
@@ -46,13 +46,13 @@
 
 /// An ended program for which engines may still hold memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unreleased {
+pub struct UnreleasedProgram {
     /// Program.
     pub program: ProgramId,
     /// Backend servers that answered its calls.
     pub backends: Vec<BackendId>,
     /// Whether backend servers without a recorded answer may hold memory too.
-    pub scattered: bool,
+    pub has_unrecorded_backends: bool,
 }
 
 impl Slot {
@@ -62,7 +62,7 @@
             live: None,
             changed: Rc::new(Notify::new()),
             hold_until: None,
-            scattered: false,
+            has_unrecorded_backends: false,
             unrecorded_open: None,
             used_at: now,
         }
@@ -173,16 +173,16 @@
         }
     }
 
-    pub fn unreleased(&self) -> Vec<Unreleased> {
+    pub fn unreleased(&self) -> Vec<UnreleasedProgram> {
         let slots = self.slots.borrow();
         let ended = slots.values().filter(|slot| {
             slot.program.closed.is_some() && !slot.program.released && slot.live.is_none()
         });
         ended
-            .map(|slot| Unreleased {
+            .map(|slot| UnreleasedProgram {
                 program: slot.program.id.clone(),
                 backends: slot.program.backends.iter().cloned().collect(),
-                scattered: slot.scattered,
+                has_unrecorded_backends: slot.has_unrecorded_backends,
             })
             .collect()
     }
@@ -195,18 +195,18 @@
         idle.map(|slot| slot.program.id.clone()).collect()
     }
 
-    pub fn programs_of(&self, shard: ShardId) -> Vec<Program> {
+    pub fn programs_in_shard(&self, shard: ShardId) -> Vec<Program> {
         let slots = self.slots.borrow();
         let of_shard = slots.values().filter(|slot| slot.is_of(shard));
         of_shard.map(|slot| slot.program.clone()).collect()
     }
 
-    pub fn is_busy(&self, shard: ShardId) -> bool {
+    pub fn has_running_calls(&self, shard: ShardId) -> bool {
         let slots = self.slots.borrow();
         slots.values().any(|slot| slot.live.is_some() && slot.is_of(shard))
     }
 
-    pub fn forget(&self, shard: ShardId) {
+    pub fn remove_shard(&self, shard: ShardId) {
         self.slots.borrow_mut().retain(|_, slot| !slot.is_of(shard));
         self.children.borrow_mut().retain(|id, _| shard_of_program(id) != Some(shard));
     }
--- a/crates/coordination/src/rows.rs
+++ b/crates/coordination/src/rows.rs
@@ -46,7 +46,7 @@
 
 /// Definite outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum RowRead {
+pub enum WriteOutcome {
     /// The write took effect; holds the row's new version.
     Written(u64),
     /// The row had another version, and nothing was written; holds the current row, if any.
@@ -103,7 +103,7 @@
     ///
     /// Fails when the store cannot be reached or refuses the call;
     /// [`RowStoreError::AnswerLost`] leaves open whether the write took effect.
-    async fn write(&self, write: RowWrite<'_>) -> Result<RowRead, RowStoreError>;
+    async fn write(&self, write: RowWrite<'_>) -> Result<WriteOutcome, RowStoreError>;
 }
 
 /// A shared handle to the store.
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -103,7 +103,7 @@
 
     /// Returns the number of shards held in any phase.
     #[must_use]
-    pub fn held_count(&self) -> usize {
+    pub fn owned_count(&self) -> usize {
         self.owned.borrow().len()
     }
 
@@ -182,8 +182,11 @@
         if draining.is_empty() {
             return Ok(true);
         }
-        let idle: Vec<ShardId> =
-            draining.iter().copied().filter(|shard| !self.owner.is_busy(*shard)).collect();
+        let idle: Vec<ShardId> = draining
+            .iter()
+            .copied()
+            .filter(|shard| !self.owner.has_running_calls(*shard))
+            .collect();
         self.journal.flush().await;
         for batch in idle.chunks(CLAIM_BATCH) {
             self.release(batch).await?;
@@ -309,7 +312,7 @@
             if !programs.is_empty() {
                 info!("event=shard_recovered shard={shard} programs={}", programs.len());
             }
-            self.owner.adopt(programs);
+            self.owner.insert_recovered(programs);
             self.set_phase(shard, Phase::Serving);
         }
         Ok(())
@@ -360,7 +363,7 @@
         if owned.row.starts_at(first_commit) {
             return Ok(());
         }
-        let programs = self.owner.programs_of(shard);
+        let programs = self.owner.programs_in_shard(shard);
         let mut row = owned.row.clone();
         row.checkpoint = self.put_checkpoint(shard, programs).await?;
         row.segments = vec![Segment {
@@ -437,7 +440,7 @@
         for shard in batch {
             self.owned.borrow_mut().remove(shard);
             self.owners.borrow_mut().remove(shard);
-            self.owner.forget(*shard);
+            self.owner.remove_shard(*shard);
         }
         info!("event=shards_released count={}", batch.len());
         Ok(())
--- a/crates/coordination/src/turns.rs
+++ b/crates/coordination/src/turns.rs
@@ -15,7 +15,7 @@
 
 use crate::ids::TeamId;
 use crate::request::RequestId;
-use crate::rows::{RowRead, RowStoreError, RowWrite, SharedRowStore, part_of};
+use crate::rows::{RowStoreError, RowWrite, SharedRowStore, WriteOutcome, part_of};
 
 /// Table of the kept turns.
 pub const TURNS_TABLE: &str = "turns";
@@ -168,10 +168,12 @@
             value: Some(&value),
         };
         match self.store.write(write).await {
-            Ok(RowRead::Written(_)) => Ok(()),
+            Ok(WriteOutcome::Written(_)) => Ok(()),
             // An earlier try of this write took effect although its answer was lost.
-            Ok(RowRead::Conflict(Some(row))) if row.value == value => Ok(()),
-            Ok(RowRead::Conflict(_)) => Err(malformed(&"another turn has the same request id")),
+            Ok(WriteOutcome::Conflict(Some(row))) if row.value == value => Ok(()),
+            Ok(WriteOutcome::Conflict(_)) => {
+                Err(malformed(&"another turn has the same request id"))
+            }
             Err(source) => Err(TurnError::Store { source }),
         }
     }
--- a/crates/daemon/src/backend/release.rs
+++ b/crates/daemon/src/backend/release.rs
@@ -4,7 +4,7 @@
 
 use dandelionfront_coordination::ConfigSnapshot;
 use dandelionfront_coordination::ids::ProgramId;
-use dandelionfront_coordination::owner::Unreleased;
+use dandelionfront_coordination::owner::UnreleasedProgram;
 use futures_util::future::join_all;
 use ntex::client::Client;
 
@@ -31,7 +31,7 @@
     pub async fn release(
         &self,
         config: &ConfigSnapshot,
-        mut unreleased: Vec<Unreleased>,
+        mut unreleased: Vec<UnreleasedProgram>,
     ) -> Vec<ProgramId> {
         unreleased.truncate(BATCH);
         let releases = unreleased.iter().map(|ended| self.release_one(config, ended));
@@ -40,12 +40,12 @@
         pairs.filter(|(_, confirmed)| *confirmed).map(|(ended, _)| ended.program).collect()
     }
 
-    async fn release_one(&self, config: &ConfigSnapshot, ended: &Unreleased) -> bool {
+    async fn release_one(&self, config: &ConfigSnapshot, ended: &UnreleasedProgram) -> bool {
         let objects = config.objects();
         let is_engine = |served: &String| objects.model.contains_key(served);
         let engines = objects.backend.iter().filter(|(name, backend)| {
             backend.serves.iter().any(is_engine)
-                && (ended.scattered || ended.backends.contains(name))
+                && (ended.has_unrecorded_backends || ended.backends.contains(name))
         });
         let requests = engines.map(|(_, backend)| async {
             let engine = HttpEngine::new(self.client.clone(), &backend.address, self.timeout);
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -15,7 +15,7 @@
 use dandelionfront_coordination::limits::usage::{
     Admitted, TeamHash, report_interval, silent_after,
 };
-use dandelionfront_coordination::rows::{RowRead, RowStore as _, RowStoreError, RowWrite};
+use dandelionfront_coordination::rows::{RowStore as _, RowStoreError, RowWrite, WriteOutcome};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 
@@ -207,7 +207,7 @@
         key: &str,
         expected_version: u64,
         value: Option<&[u8]>,
-    ) -> Result<RowRead, RowStoreError> {
+    ) -> Result<WriteOutcome, RowStoreError> {
         let write = RowWrite { table: NODES_TABLE, part: "", key, expected_version, value };
         node.store.write(write).await
     }
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -201,7 +201,7 @@
         tried: &[BackendId],
     ) -> Result<Placement, Refusal> {
         if !tried.is_empty() {
-            self.node().owner().mark_scattered(program);
+            self.node().owner().mark_unrecorded_backends(program);
         }
         let config = self.follower.current();
         let mut refusal = None;
@@ -377,7 +377,7 @@
     async fn update_gauges(self: Rc<Self>) {
         loop {
             let node = self.node();
-            self.metrics.shards.set(i64::try_from(node.shards().held_count()).unwrap_or(i64::MAX));
+            self.metrics.shards.set(i64::try_from(node.shards().owned_count()).unwrap_or(i64::MAX));
             let programs = node.owner().program_count();
             self.metrics.programs.set(i64::try_from(programs).unwrap_or(i64::MAX));
             ntex::time::sleep(GAUGE_INTERVAL).await;
--- a/crates/daemon/src/request/routes.rs
+++ b/crates/daemon/src/request/routes.rs
@@ -4,7 +4,7 @@
 
 use dandelionfront_coordination::config::objects::Route;
 use dandelionfront_coordination::config::snapshot::Caller;
-use dandelionfront_coordination::ids::{CallSequence, ProgramId, TeamId, single_call_program};
+use dandelionfront_coordination::ids::{CallSequence, ProgramId, TeamId, single_call_program_id};
 use dandelionfront_coordination::{CallRequest, ConfigSnapshot, Refusal, RefusalKind};
 use ntex::util::{Bytes, BytesMut};
 use ntex::web::{HttpRequest, types};
@@ -52,7 +52,7 @@
         (None, None) => {
             let key = key.map_or_else(random_key, str::to_owned);
             let (region, shards) = (&settings.identity.region, settings.node.shard_count);
-            let program = single_call_program(region, shards, team, &key);
+            let program = single_call_program_id(region, shards, team, &key);
             Ok(CallIdentity { program, single: true, sequence: 1, idempotency_key: key })
         }
         (Some(program), Some(sequence)) => {
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -5,7 +5,7 @@
 
 use async_trait::async_trait;
 use dandelionfront_coordination::rows::{
-    RowChange, RowRead, RowStore, RowStoreError, RowWrite, VersionedRow,
+    RowChange, RowStore, RowStoreError, RowWrite, VersionedRow, WriteOutcome,
 };
 
 use crate::faults::take;
@@ -160,7 +160,7 @@
         Ok(lock(&self.table).rows.get(&name).cloned())
     }
 
-    async fn write(&self, write: RowWrite<'_>) -> Result<RowRead, RowStoreError> {
+    async fn write(&self, write: RowWrite<'_>) -> Result<WriteOutcome, RowStoreError> {
         self.check()?;
         *lock(&self.writes) += 1;
         let lost = RowStoreError::AnswerLost { detail: "fault".to_owned() };
@@ -174,8 +174,8 @@
             return Err(lost);
         }
         Ok(match outcome {
-            Ok(version) => RowRead::Written(version),
-            Err(rows) => RowRead::Conflict(rows.into_iter().next().map(|(_, row)| row)),
+            Ok(version) => WriteOutcome::Written(version),
+            Err(rows) => WriteOutcome::Conflict(rows.into_iter().next().map(|(_, row)| row)),
         })
     }
 }
