--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -42,11 +42,11 @@
 }
 
 impl RetryBudget {
-    fn first_try(&mut self) {
+    fn deposit(&mut self) {
         self.tokens = (self.tokens + RETRY_TOKENS_PER_CALL).min(RETRY_TOKENS_MAX);
     }
 
-    fn retry(&mut self) -> bool {
+    fn withdraw(&mut self) -> bool {
         let allowed = self.tokens >= 1.0;
         if allowed {
             self.tokens -= 1.0;
@@ -68,8 +68,8 @@
         tried: &[BackendId],
     ) -> Result<Placement, Refusal> {
         if tried.is_empty() {
-            self.retry_budget.borrow_mut().first_try();
-        } else if !self.retry_budget.borrow_mut().retry() {
+            self.retry_budget.borrow_mut().deposit();
+        } else if !self.retry_budget.borrow_mut().withdraw() {
             return Err(Refusal::not_run(
                 RefusalKind::NoBackend,
                 "too many calls are being retried at other backend servers; repeat it later",
--- a/crates/coordination/src/journal.rs
+++ b/crates/coordination/src/journal.rs
@@ -75,7 +75,7 @@
     pub commit_time: Duration,
 }
 
-struct Pending {
+struct PendingAppend {
     entries: Vec<Entry>,
     done: oneshot::Sender<Result<(), JournalError>>,
 }
@@ -89,10 +89,10 @@
     clock: Rc<dyn Clock>,
     incarnation: Rc<Incarnation>,
     settings: JournalSettings,
-    pending: RefCell<Vec<Pending>>,
-    arrived: Notify,
+    pending: RefCell<Vec<PendingAppend>>,
+    records_queued: Notify,
     in_flight: Cell<bool>,
-    wanted: Cell<bool>,
+    commit_requested: Cell<bool>,
     stalled: Cell<bool>,
     next_number: Cell<CommitNumber>,
     min_commit_interval: Cell<Duration>,
@@ -125,9 +125,9 @@
             incarnation,
             settings,
             pending: RefCell::default(),
-            arrived: Notify::new(),
+            records_queued: Notify::new(),
             in_flight: Cell::new(false),
-            wanted: Cell::new(false),
+            commit_requested: Cell::new(false),
             stalled: Cell::new(false),
             next_number: Cell::new(1),
             min_commit_interval: Cell::default(),
@@ -178,8 +178,8 @@
             let _ = done.send(Err(JournalError::Fenced));
             return ticket;
         }
-        self.pending.borrow_mut().push(Pending { entries, done });
-        self.arrived.notify_one();
+        self.pending.borrow_mut().push(PendingAppend { entries, done });
+        self.records_queued.notify_one();
         ticket
     }
 
@@ -187,7 +187,7 @@
     pub fn append_lazily(&self, entries: Vec<Entry>) {
         let (done, _) = oneshot::channel();
         if !self.incarnation.is_fenced() && !entries.is_empty() {
-            self.pending.borrow_mut().push(Pending { entries, done });
+            self.pending.borrow_mut().push(PendingAppend { entries, done });
         }
     }
 
@@ -208,22 +208,22 @@
     /// Commits queued records until the node is fenced.
     pub async fn run(&self) {
         while !self.incarnation.is_fenced() {
-            if !self.wanted.replace(false) {
-                self.arrived.notified().await;
-                self.wanted.set(true);
+            if !self.commit_requested.replace(false) {
+                self.records_queued.notified().await;
+                self.commit_requested.set(true);
             }
             let batch = self.take_batch();
             if batch.is_empty() {
                 continue;
             }
             // What was left out of a full batch goes into the next commit.
-            self.wanted.set(!self.pending.borrow().is_empty());
+            self.commit_requested.set(!self.pending.borrow().is_empty());
             self.in_flight.set(true);
             let started = self.clock.monotonic();
             let result = self.commit(&batch).await;
             self.in_flight.set(false);
             let elapsed = self.clock.monotonic().saturating_sub(started);
-            self.settle(batch, &result, elapsed);
+            self.complete_batch(batch, &result, elapsed);
             let interval = self.settings.commit_interval.max(self.min_commit_interval.get());
             if let Some(pause) = interval.checked_sub(elapsed) {
                 self.clock.sleep(pause).await;
@@ -232,7 +232,7 @@
         self.fail_pending();
     }
 
-    fn take_batch(&self) -> Vec<Pending> {
+    fn take_batch(&self) -> Vec<PendingAppend> {
         let mut pending = self.pending.borrow_mut();
         let mut entries = 0;
         let fitting = pending
@@ -246,9 +246,9 @@
         pending.drain(..fitting).collect()
     }
 
-    fn settle(
+    fn complete_batch(
         &self,
-        batch: Vec<Pending>,
+        batch: Vec<PendingAppend>,
         result: &Result<Commit, JournalError>,
         elapsed: Duration,
     ) {
@@ -279,7 +279,7 @@
         }
     }
 
-    async fn commit(&self, batch: &[Pending]) -> Result<Commit, JournalError> {
+    async fn commit(&self, batch: &[PendingAppend]) -> Result<Commit, JournalError> {
         let number = self.next_number.get();
         let mut entries: Vec<Entry> =
             batch.iter().flat_map(|item| item.entries.iter().cloned()).collect();
@@ -302,7 +302,7 @@
                         break;
                     }
                 }
-                Err(error) => self.pause_after(&error).await?,
+                Err(error) => self.wait_before_retry(&error).await?,
             }
         }
         self.next_number.set(number + 1);
@@ -319,8 +319,8 @@
         loop {
             match self.read_back(key).await {
                 Ok((Some(row), _)) if row.value == *value => return Ok(true),
-                Ok((None, Some(own))) if !is_fenced_row(&own) => {
-                    self.incarnation.set_row_version(own.version);
+                Ok((None, Some(member))) if !is_fenced_row(&member) => {
+                    self.incarnation.set_row_version(member.version);
                     return Ok(false);
                 }
                 Ok(_) => {
@@ -328,18 +328,18 @@
                     self.incarnation.mark_fenced();
                     return Err(JournalError::Fenced);
                 }
-                Err(error) => self.pause_after(&error).await?,
+                Err(error) => self.wait_before_retry(&error).await?,
             }
         }
     }
 
     async fn read_back(&self, key: &str) -> PlatformResult<(Option<Row>, Option<Row>)> {
         let row = self.platform.table.get(Table::Journal, key).await?;
-        let own = self.platform.table.get(Table::Nodes, self.incarnation.id()).await?;
-        Ok((row, own))
+        let member = self.platform.table.get(Table::Nodes, self.incarnation.id()).await?;
+        Ok((row, member))
     }
 
-    async fn pause_after(&self, error: &PlatformError) -> Result<(), JournalError> {
+    async fn wait_before_retry(&self, error: &PlatformError) -> Result<(), JournalError> {
         debug!("event=commit_retry cause={error:?}");
         self.stalled.set(true);
         let mut stats = self.stats.get();
@@ -367,7 +367,7 @@
             return Ok(());
         }
         while let Err(error) = self.platform.objects.put(&key, bytes.clone()).await {
-            self.pause_after(&error).await?;
+            self.wait_before_retry(&error).await?;
         }
         Ok(())
     }
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -11,26 +11,26 @@
 use crate::refusal::Refusal;
 
 impl Owner {
-    /// Records the end of an attempt and closes its feed; `recorded` runs in between.
+    /// Records the end of an attempt and closes its feed; `on_recorded` runs in between.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
         request: &CallRequest,
         end: AttemptEnd,
-        recorded: impl FnOnce(),
+        on_recorded: impl FnOnce(),
     ) {
-        let (record, outcome) = Self::end_records(ticket, request, end);
+        let (record, outcome) = Self::end_record(ticket, request, end);
         if outcome.is_err() {
             self.mark_unrecorded_backends(&ticket.program);
         }
         if let Some(record) = record {
             let mut records = vec![record];
-            records.extend(self.single_call_closing(request, &outcome));
-            self.record_end(ticket, records, outcome, recorded).await;
+            records.extend(self.single_call_closed_record(request, &outcome));
+            self.record_end(ticket, records, outcome, on_recorded).await;
         } else {
             ticket.feed.close(outcome);
         }
-        self.clear_live(&ticket.program);
+        self.clear_running(&ticket.program);
     }
 
     /// Commits the end of an attempt and closes its feed, at the latest when the wait is over.
@@ -39,13 +39,13 @@
         ticket: &CallTicket,
         records: Vec<Record>,
         outcome: Result<Answer, Refusal>,
-        recorded: impl FnOnce(),
+        on_recorded: impl FnOnce(),
     ) {
         let commit = std::pin::pin!(self.commit(self.append(&ticket.program, records)));
         let timeout = self.clock.sleep(self.settings.end_commit_wait);
         match select(commit, timeout).await {
             Either::Left((committed, _)) => {
-                recorded();
+                on_recorded();
                 ticket.feed.close(committed.and(outcome));
             }
             Either::Right(((), commit)) => {
@@ -57,13 +57,13 @@
         }
     }
 
-    fn end_records(
+    fn end_record(
         ticket: &CallTicket,
         request: &CallRequest,
         end: AttemptEnd,
     ) -> (Option<Record>, Result<Answer, Refusal>) {
         let call = ticket.key.clone();
-        let recorded = ticket.dispatch_before.is_some();
+        let is_start_recorded = ticket.dispatch_before.is_some();
         match end {
             AttemptEnd::Answered { answer, usage, backend } => {
                 let stored = StoredAnswer {
@@ -76,11 +76,11 @@
                 (Some(record), Ok(answer))
             }
             AttemptEnd::NotSent(refusal) => {
-                (recorded.then_some(Record::Cancelled { call }), Err(refusal))
+                (is_start_recorded.then_some(Record::Cancelled { call }), Err(refusal))
             }
             AttemptEnd::Lost(refusal) if call.repeatable => {
                 let charged_tokens = ticket.reserved_tokens;
-                (recorded.then_some(Record::Failed { call, charged_tokens }), Err(refusal))
+                (is_start_recorded.then_some(Record::Failed { call, charged_tokens }), Err(refusal))
             }
             AttemptEnd::Lost(_) => {
                 (Some(Record::InDoubt { call }), Err(Refusal::outcome_unknown()))
@@ -88,7 +88,7 @@
         }
     }
 
-    fn single_call_closing(
+    fn single_call_closed_record(
         &self,
         request: &CallRequest,
         outcome: &Result<Answer, Refusal>,
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -20,7 +20,7 @@
 use crate::record::{CallKey, CloseReason, Entry, Record, StoredAnswer};
 use crate::refusal::{Refusal, RefusalKind};
 use refusals::{budget_exhausted, platform_unavailable};
-use table::{Live, ProgramTable, Slot};
+use table::{ProgramTable, RunningCall, Slot};
 
 pub use table::UnreleasedProgram;
 pub use types::{Admission, AttemptEnd, CallTicket, OwnerSettings, ProgramSpec};
@@ -107,16 +107,16 @@
         if self.journal.is_stalled() {
             return Err(platform_unavailable());
         }
-        let family = self.table.family(id);
+        let subtree = self.table.subtree(id);
         let closed_unix_ms = unix_ms(&*self.clock);
         let mut entries = Vec::new();
-        for member in &family {
-            let reason = if member == id { reason } else { CloseReason::ParentEnded };
-            entries.extend(entry(member, Record::Closed { reason, closed_unix_ms }));
+        for program in &subtree {
+            let reason = if program == id { reason } else { CloseReason::ParentEnded };
+            entries.extend(entry(program, Record::Closed { reason, closed_unix_ms }));
         }
         self.commit(self.journal.append(entries)).await?;
-        self.table.cancel_running(&family);
-        Ok(family)
+        self.table.cancel_running(&subtree);
+        Ok(subtree)
     }
 
     /// Returns ended programs for which engines may still hold memory.
@@ -155,7 +155,7 @@
                 Step::Recorded(answer) => return Ok(Admission::Recorded(answer)),
                 Step::Join(feed) => return Ok(Admission::Join(feed)),
                 Step::Run { attempt } => return self.start(request, digest, attempt).await,
-                Step::Wait(changed, until) => self.wait_turn(&changed, until, deadline).await?,
+                Step::Wait(changed, until) => self.wait_change(&changed, until, deadline).await?,
             }
         }
     }
@@ -174,7 +174,7 @@
 
     /// Takes over recovered programs; attempts without a recorded end become in doubt or failed.
     pub fn insert_recovered(&self, programs: Vec<Program>) {
-        let hold_until = self.clock.monotonic() + self.settings.dispatch_window;
+        let blocked_until = self.clock.monotonic() + self.settings.dispatch_window;
         let mut entries = Vec::new();
         for program in programs {
             let id = program.id.clone();
@@ -182,7 +182,7 @@
             let mut slot = Slot::new(program, self.clock.monotonic());
             slot.has_unrecorded_backends = true;
             if let Some(record) = unsettled {
-                slot.hold_until = Some(hold_until);
+                slot.blocked_until = Some(blocked_until);
                 entries.extend(entry(&id, record));
             }
             self.table.insert(slot);
@@ -203,17 +203,17 @@
     }
 
     fn next_step(&self, request: &CallRequest, digest: &str) -> Result<Step, Refusal> {
-        self.ensure_single(request);
+        self.ensure_single_call_program(request);
         let step = self.table.with(&request.program, |slot| self.step_of(slot, request, digest));
         step.unwrap_or_else(|| Err(Refusal::program_unknown()))
     }
 
     fn step_of(&self, slot: &Slot, request: &CallRequest, digest: &str) -> Result<Step, Refusal> {
-        if let Some(live) = &slot.live
+        if let Some(running) = &slot.running
             && slot.program.team == request.team
-            && live.key.sequence == request.sequence
+            && running.key.sequence == request.sequence
         {
-            return join_live(live, request, digest, &slot.changed);
+            return join_running(running, request, digest, &slot.changed);
         }
         match slot.program.decide(request, digest) {
             Decision::Refuse(refusal) => Err(refusal),
@@ -224,14 +224,14 @@
     }
 
     fn run_or_wait(&self, slot: &Slot, attempt: u32) -> Step {
-        let held = slot.hold_until.filter(|until| self.clock.monotonic() < *until);
-        if slot.live.is_some() || held.is_some() {
-            return Step::Wait(Rc::clone(&slot.changed), held);
+        let blocked_until = slot.blocked_until.filter(|until| self.clock.monotonic() < *until);
+        if slot.running.is_some() || blocked_until.is_some() {
+            return Step::Wait(Rc::clone(&slot.changed), blocked_until);
         }
         Step::Run { attempt }
     }
 
-    async fn wait_turn(
+    async fn wait_change(
         &self,
         changed: &Notify,
         until: Option<Duration>,
@@ -266,13 +266,18 @@
             route: request.route.clone(),
         };
         let reserved_tokens = request.tokens_max();
-        let budgeted = self.check_budget(&request.program, reserved_tokens)?;
-        let recorded = budgeted || !request.repeatable;
-        if recorded && self.journal.is_stalled() {
+        let has_budget = self.check_budget(&request.program, reserved_tokens)?;
+        let records_start = has_budget || !request.repeatable;
+        if records_start && self.journal.is_stalled() {
             return Err(platform_unavailable());
         }
         let feed = CallFeed::new();
-        self.set_live(&request.program, &key, &feed, if budgeted { reserved_tokens } else { 0 });
+        self.set_running(
+            &request.program,
+            &key,
+            &feed,
+            if has_budget { reserved_tokens } else { 0 },
+        );
         let mut ticket = CallTicket {
             program: request.program.clone(),
             key,
@@ -282,10 +287,10 @@
             incarnation: self.journal.incarnation().to_owned(),
             fencing_number: 0,
         };
-        if recorded {
-            let begun = self.clock.monotonic();
+        if records_start {
+            let commit_started = self.clock.monotonic();
             self.record_start(&ticket).await?;
-            ticket.dispatch_before = Some(begun + self.settings.dispatch_window);
+            ticket.dispatch_before = Some(commit_started + self.settings.dispatch_window);
         }
         Ok(Admission::Run(ticket))
     }
@@ -300,7 +305,7 @@
             Either::Left(_) => Refusal::not_owner(),
             Either::Right(_) => platform_unavailable(),
         };
-        // The call stays live, so that a repeat cannot run before the cancellation is committed.
+        // The call stays running, so that a repeat cannot run before the cancellation is committed.
         let cancelled = Record::Cancelled { call: ticket.key.clone() };
         drop(self.append(&ticket.program, vec![cancelled]));
         ticket.feed.close(Err(refusal.clone()));
@@ -308,7 +313,7 @@
     }
 
     /// Creates the implicit program of a single call, to be recorded with the call's first record.
-    fn ensure_single(&self, request: &CallRequest) {
+    fn ensure_single_call_program(&self, request: &CallRequest) {
         if !request.single || self.table.contains(&request.program) {
             return;
         }
@@ -316,7 +321,7 @@
         let record = self.opened_record(&spec, true);
         if let Some(program) = Program::from_opened(&request.program, &record) {
             let mut slot = Slot::new(program, self.clock.monotonic());
-            slot.unrecorded_open = Some(record);
+            slot.unrecorded_opened = Some(record);
             self.table.insert(slot);
         }
     }
@@ -333,26 +338,26 @@
 
     /// Checks every budget from the program up to its root; returns whether there is any.
     fn check_budget(&self, id: &str, tokens: u64) -> Result<bool, Refusal> {
-        let mut budgeted = false;
+        let mut has_budget = false;
         let mut current = Some(id.to_owned());
         while let Some(ancestor) = current {
             let Some(program) = self.program(&ancestor, None) else {
                 break;
             };
             if let Some(budget) = program.budget_tokens {
-                budgeted = true;
-                let remaining = budget.saturating_sub(self.table.family_spent(&ancestor));
+                has_budget = true;
+                let remaining = budget.saturating_sub(self.table.subtree_spent_tokens(&ancestor));
                 if tokens > remaining {
                     return Err(budget_exhausted(&ancestor, remaining, tokens));
                 }
             }
             current = program.parent;
         }
-        Ok(budgeted)
+        Ok(has_budget)
     }
 
     fn append(&self, program: &str, records: Vec<Record>) -> CommitTicket {
-        let opened = self.table.update(program, |slot| slot.unrecorded_open.take()).flatten();
+        let opened = self.table.update(program, |slot| slot.unrecorded_opened.take()).flatten();
         let records = opened.into_iter().chain(records);
         self.journal.append(records.filter_map(|record| entry(program, record)).collect())
     }
@@ -367,40 +372,47 @@
         }
     }
 
-    fn set_live(&self, program: &str, key: &CallKey, feed: &Arc<CallFeed>, unrecorded_tokens: u64) {
+    fn set_running(
+        &self,
+        program: &str,
+        key: &CallKey,
+        feed: &Arc<CallFeed>,
+        unrecorded_tokens: u64,
+    ) {
         let now = self.clock.monotonic();
         self.table.update(program, |slot| {
             slot.used_at = now;
-            slot.live = Some(Live { key: key.clone(), feed: Arc::clone(feed), unrecorded_tokens });
+            slot.running =
+                Some(RunningCall { key: key.clone(), feed: Arc::clone(feed), unrecorded_tokens });
         });
     }
 
-    fn clear_live(&self, program: &str) {
+    fn clear_running(&self, program: &str) {
         let now = self.clock.monotonic();
         self.table.update(program, |slot| {
-            slot.live = None;
+            slot.running = None;
             slot.used_at = now;
             slot.changed.notify_waiters();
         });
     }
 }
 
-fn join_live(
-    live: &Live,
+fn join_running(
+    running: &RunningCall,
     request: &CallRequest,
     digest: &str,
     changed: &Rc<Notify>,
 ) -> Result<Step, Refusal> {
-    if live.key.idempotency_key != request.idempotency_key {
+    if running.key.idempotency_key != request.idempotency_key {
         return Ok(Step::Wait(Rc::clone(changed), None));
     }
-    if live.key.digest != digest {
+    if running.key.digest != digest {
         return Err(Refusal::not_run(
             RefusalKind::IdempotencyMismatch,
             "the Idempotency-Key was used for another request; send a fresh key",
         ));
     }
-    Ok(Step::Join(Arc::clone(&live.feed)))
+    Ok(Step::Join(Arc::clone(&running.feed)))
 }
 
 fn unsettled_record(program: &Program) -> Option<Record> {
--- a/crates/coordination/src/owner/table.rs
+++ b/crates/coordination/src/owner/table.rs
@@ -16,7 +16,7 @@
 
 /// A running call.
 #[derive(Debug)]
-pub(super) struct Live {
+pub(super) struct RunningCall {
     /// Call and attempt.
     pub key: CallKey,
     /// Output of the call.
@@ -31,15 +31,15 @@
     /// Recorded state.
     pub program: Program,
     /// Call that runs now.
-    pub live: Option<Live>,
+    pub running: Option<RunningCall>,
     /// Notified at each change.
     pub changed: Rc<Notify>,
     /// Time before which no further call may run, after a takeover.
-    pub hold_until: Option<Duration>,
+    pub blocked_until: Option<Duration>,
     /// Whether backend servers without a recorded answer may hold memory.
     pub has_unrecorded_backends: bool,
     /// Record of an implicit program that goes into the commit of its first other record.
-    pub unrecorded_open: Option<Record>,
+    pub unrecorded_opened: Option<Record>,
     /// Time of the last call's start or end.
     pub used_at: Duration,
 }
@@ -59,34 +59,34 @@
     pub fn new(program: Program, now: Duration) -> Self {
         Self {
             program,
-            live: None,
+            running: None,
             changed: Rc::new(Notify::new()),
-            hold_until: None,
+            blocked_until: None,
             has_unrecorded_backends: false,
-            unrecorded_open: None,
+            unrecorded_opened: None,
             used_at: now,
         }
     }
 
     fn spent_tokens(&self) -> u64 {
-        let unrecorded = self.live.as_ref().map_or(0, |live| live.unrecorded_tokens);
+        let unrecorded = self.running.as_ref().map_or(0, |running| running.unrecorded_tokens);
         self.program.spent_tokens.saturating_add(unrecorded)
     }
 
-    fn is_of(&self, shard: ShardId) -> bool {
+    fn is_in_shard(&self, shard: ShardId) -> bool {
         shard_of_program(&self.program.id) == Some(shard)
     }
 
     /// Adjusts the running call to a record that was just committed.
-    fn settle_live(&mut self, record: &Record) {
+    fn update_running(&mut self, record: &Record) {
         match record {
             Record::Started { .. } => {
-                if let Some(live) = &mut self.live {
-                    live.unrecorded_tokens = 0;
+                if let Some(running) = &mut self.running {
+                    running.unrecorded_tokens = 0;
                 }
             }
             Record::Cancelled { call } => {
-                self.live.take_if(|live| live.key == *call);
+                self.running.take_if(|running| running.key == *call);
             }
             _ => {}
         }
@@ -136,37 +136,37 @@
         }
         self.update(id, |slot| {
             slot.program.apply(record);
-            slot.settle_live(record);
+            slot.update_running(record);
             slot.changed.notify_waiters();
         });
     }
 
     /// Returns `id` and all programs below it.
-    pub fn family(&self, id: &str) -> Vec<ProgramId> {
+    pub fn subtree(&self, id: &str) -> Vec<ProgramId> {
         let children = self.children.borrow();
-        let mut family = vec![id.to_owned()];
+        let mut subtree = vec![id.to_owned()];
         let mut position = 0;
-        while position < family.len() {
-            if let Some(below) = children.get(&family[position]) {
-                family.extend(below.iter().cloned());
+        while position < subtree.len() {
+            if let Some(below) = children.get(&subtree[position]) {
+                subtree.extend(below.iter().cloned());
             }
             position += 1;
         }
-        family
+        subtree
     }
 
     /// Returns the tokens charged to `id` and all programs below it.
-    pub fn family_spent(&self, id: &str) -> u64 {
+    pub fn subtree_spent_tokens(&self, id: &str) -> u64 {
         let slots = self.slots.borrow();
-        self.family(id).iter().filter_map(|id| slots.get(id)).map(Slot::spent_tokens).sum()
+        self.subtree(id).iter().filter_map(|id| slots.get(id)).map(Slot::spent_tokens).sum()
     }
 
     /// Ends running repeatable calls; a call that may not be repeated is left to finish.
     pub fn cancel_running(&self, programs: &[ProgramId]) {
         let slots = self.slots.borrow();
-        let live = programs.iter().filter_map(|id| slots.get(id)?.live.as_ref());
-        for live in live.filter(|live| live.key.repeatable) {
-            live.feed.close(Err(Refusal::unknown(
+        let calls = programs.iter().filter_map(|id| slots.get(id)?.running.as_ref());
+        for call in calls.filter(|call| call.key.repeatable) {
+            call.feed.close(Err(Refusal::unknown(
                 RefusalKind::Cancelled,
                 "the program was ended while the call ran; open a new program",
             )));
@@ -176,7 +176,7 @@
     pub fn unreleased(&self) -> Vec<UnreleasedProgram> {
         let slots = self.slots.borrow();
         let ended = slots.values().filter(|slot| {
-            slot.program.closed.is_some() && !slot.program.released && slot.live.is_none()
+            slot.program.closed.is_some() && !slot.program.released && slot.running.is_none()
         });
         ended
             .map(|slot| UnreleasedProgram {
@@ -190,30 +190,30 @@
     pub fn idle_since(&self, before: Duration) -> Vec<ProgramId> {
         let slots = self.slots.borrow();
         let idle = slots.values().filter(|slot| {
-            slot.program.closed.is_none() && slot.live.is_none() && slot.used_at < before
+            slot.program.closed.is_none() && slot.running.is_none() && slot.used_at < before
         });
         idle.map(|slot| slot.program.id.clone()).collect()
     }
 
     pub fn programs_in_shard(&self, shard: ShardId) -> Vec<Program> {
         let slots = self.slots.borrow();
-        let of_shard = slots.values().filter(|slot| slot.is_of(shard));
+        let of_shard = slots.values().filter(|slot| slot.is_in_shard(shard));
         of_shard.map(|slot| slot.program.clone()).collect()
     }
 
     pub fn has_running_calls(&self, shard: ShardId) -> bool {
         let slots = self.slots.borrow();
-        slots.values().any(|slot| slot.live.is_some() && slot.is_of(shard))
+        slots.values().any(|slot| slot.running.is_some() && slot.is_in_shard(shard))
     }
 
     pub fn remove_shard(&self, shard: ShardId) {
-        self.slots.borrow_mut().retain(|_, slot| !slot.is_of(shard));
+        self.slots.borrow_mut().retain(|_, slot| !slot.is_in_shard(shard));
         self.children.borrow_mut().retain(|id, _| shard_of_program(id) != Some(shard));
     }
 
     pub fn expire(&self, closed_before_unix_ms: u64) {
         self.slots.borrow_mut().retain(|_, slot| {
-            slot.live.is_some()
+            slot.running.is_some()
                 || !slot.program.released
                 || slot.program.closed.is_none_or(|(_, closed)| closed >= closed_before_unix_ms)
         });
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -18,7 +18,7 @@
 use crate::program::Program;
 
 /// Most shard rows written in one transaction.
-const CLAIM_BATCH: usize = 64;
+const TRANSACTION_ROWS_MAX: usize = 64;
 
 /// Phase of a shard on this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -140,20 +140,20 @@
             let preferred = assignment(shard);
             let wanted = preferred.as_deref() == Some(own_id);
             let (version, row) = rows.get(&shard).cloned().unwrap_or_default();
-            let ours = row.owner.as_deref() == Some(own_id);
-            let held = self.refresh_held(shard, version, &row, ours);
-            if held && !wanted && preferred.is_some() {
+            let is_own_row = row.owner.as_deref() == Some(own_id);
+            let is_owned = self.refresh_owned(shard, version, &row, is_own_row);
+            if is_owned && !wanted && preferred.is_some() {
                 self.set_phase(shard, Phase::Draining);
             }
             let free = row.owner.as_deref().is_none_or(is_free);
-            if !held && (ours || wanted && free) {
+            if !is_owned && (is_own_row || wanted && free) {
                 claims.push((shard, version, row));
             } else if row.owner != preferred {
                 settled = false;
             }
         }
-        self.note_owners(&rows);
-        for batch in claims.chunks(CLAIM_BATCH) {
+        self.update_owners(&rows);
+        for batch in claims.chunks(TRANSACTION_ROWS_MAX) {
             settled &= self.claim(batch).await?;
         }
         self.recover_claimed().await?;
@@ -188,7 +188,7 @@
             .filter(|shard| !self.owner.has_running_calls(*shard))
             .collect();
         self.journal.flush().await;
-        for batch in idle.chunks(CLAIM_BATCH) {
+        for batch in idle.chunks(TRANSACTION_ROWS_MAX) {
             self.release(batch).await?;
         }
         Ok(idle.len() == draining.len())
@@ -226,12 +226,18 @@
     ///
     /// Only the owner writes the row of a shard while it is not fenced, so a row that names
     /// another owner shows that this node was fenced.
-    fn refresh_held(&self, shard: ShardId, version: u64, row: &ShardRow, ours: bool) -> bool {
+    fn refresh_owned(
+        &self,
+        shard: ShardId,
+        version: u64,
+        row: &ShardRow,
+        is_own_row: bool,
+    ) -> bool {
         let mut owned = self.owned.borrow_mut();
         let Some(held) = owned.get_mut(&shard) else {
             return false;
         };
-        if ours {
+        if is_own_row {
             held.version = version;
             held.row = row.clone();
         } else if version >= held.version {
@@ -241,7 +247,7 @@
         true
     }
 
-    fn note_owners(&self, rows: &BTreeMap<ShardId, (u64, ShardRow)>) {
+    fn update_owners(&self, rows: &BTreeMap<ShardId, (u64, ShardRow)>) {
         let known = rows
             .iter()
             .filter_map(|(shard, (_, row))| Some((*shard, row.owner.clone()?)))
