--- a/crates/daemon/src/front/connection/caller.rs
+++ b/crates/daemon/src/front/connection/caller.rs
@@ -41,7 +41,7 @@
 /// Serves one connection to its end.
 async fn serve(node: Rc<FrontNode>, stream: TcpStream) -> io::Result<()> {
     let (io, codec) = listener::open(stream, node.table().limits().header_max_bytes)?;
-    let _open = node.caller_connections.enter();
+    let _open = node.caller_connections.track();
     loop {
         let Some((head, payload)) = next_request(&node, &io, &codec).await? else {
             return io.shutdown().await;
@@ -62,7 +62,7 @@
     let received = tokio::select! {
         biased;
         received = timeout(idle_timeout, io.recv(codec)) => received,
-        () = node.stop.idle_close() => return Ok(None),
+        () = node.stop.wait_for_idle_close() => return Ok(None),
     };
     match received {
         Err(_) | Ok(Ok(None)) => Ok(None),
@@ -104,7 +104,7 @@
     payload: PayloadType,
 ) -> io::Result<bool> {
     let arrived_at = Instant::now();
-    let _busy = node.caller_requests.enter();
+    let _busy = node.caller_requests.track();
     let body_max_bytes = node.table().limits().body_max_bytes;
     match payload {
         PayloadType::None => serve_whole(node, io, codec, head, Bytes::new(), arrived_at).await,
--- a/crates/daemon/src/front/process/clock.rs
+++ b/crates/daemon/src/front/process/clock.rs
@@ -8,23 +8,23 @@
 
 use crate::process::clock::SystemClock;
 
-/// The steady clock, and the clock that also counts suspended time.
+/// The monotonic clock, and the clock that also counts suspended time.
 #[derive(Debug, Clone, Default)]
 pub struct FrontClock {
-    steady: SystemClock,
+    monotonic: SystemClock,
 }
 
 impl FrontClock {
     /// Creates clocks that start now.
     #[must_use]
     pub fn new() -> Self {
-        Self { steady: SystemClock::new() }
+        Self { monotonic: SystemClock::new() }
     }
 
-    /// Returns the steady time since the start.
+    /// Returns the monotonic time since the start.
     #[must_use]
     pub fn monotonic_now(&self) -> Duration {
-        self.steady.monotonic()
+        self.monotonic.monotonic()
     }
 
     /// Returns the time since boot, with the time for which the VM was suspended.
@@ -38,9 +38,9 @@
         )
     }
 
-    /// Returns the steady clock for the coordination parts.
+    /// Returns the monotonic clock for the coordination parts.
     #[must_use]
-    pub fn steady(&self) -> Rc<dyn Clock> {
-        Rc::new(self.steady)
+    pub fn monotonic_clock(&self) -> Rc<dyn Clock> {
+        Rc::new(self.monotonic)
     }
 }
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -30,19 +30,19 @@
 /// Time between two rounds of housekeeping.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
 /// Time without a turn after which a program's budget is forgotten, longer than programs pause.
-const PROGRAM_FORGET_AFTER: Duration = Duration::from_secs(300);
+const PROGRAM_IDLE_MAX: Duration = Duration::from_secs(300);
 /// Time since the last turn of programs whose claims are given back at a planned stop: those that
 /// probably go on elsewhere.
-const STOP_GIVE_BACK: Duration = Duration::from_secs(10);
+const STOP_RELEASE_WINDOW: Duration = Duration::from_secs(10);
 /// Time after the stop signal for which idle connections of callers are kept.
-const STOP_IDLE_KEEP: Duration = Duration::from_millis(1_200);
+const STOP_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1_200);
 /// Time after the stop signal for which new connections still come: the balancer asks every
 /// second and needs two misses.
-const STOP_LINGER: Duration = Duration::from_millis(3_200);
+const STOP_DURATION_MIN: Duration = Duration::from_millis(3_200);
 /// Part of the platform's grace that is left for the last writes.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
 /// Time between two checks of a stop's progress.
-const STOP_CHECK: Duration = Duration::from_millis(50);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a node until it is told to stop.
 #[must_use]
@@ -103,8 +103,8 @@
     tokio::task::spawn_local(status::accept(Rc::clone(&node), readiness));
     tokio::task::spawn_local(status::accept(Rc::clone(&node), metrics_listener));
     tokio::task::spawn_local(relay_server::accept(direct, relay_listener));
-    tokio::task::spawn_local(keep_house(Rc::clone(&node)));
-    spawn_peers(&node, &peers);
+    tokio::task::spawn_local(run_housekeeping(Rc::clone(&node)));
+    spawn_peer_tasks(&node, &peers);
     tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(LOG_FLUSH_INTERVAL).await;
@@ -112,11 +112,11 @@
         }
     });
     wait_for_stop(&args.settings, &node).await?;
-    stop(&node, &peers).await;
+    shut_down(&node, &peers).await;
     Ok(())
 }
 
-fn spawn_peers(node: &Rc<FrontNode>, peers: &Rc<Peers>) {
+fn spawn_peer_tasks(node: &Rc<FrontNode>, peers: &Rc<Peers>) {
     let (receiving, receiver) = (Rc::clone(peers), Rc::clone(node));
     tokio::task::spawn_local(async move { receiving.receive(&receiver).await });
     let (reporting, reporter) = (Rc::clone(peers), Rc::clone(node));
@@ -125,13 +125,13 @@
     tokio::task::spawn_local(async move { listing.keep_listed(&listed).await });
 }
 
-async fn keep_house(node: Rc<FrontNode>) {
+async fn run_housekeeping(node: Rc<FrontNode>) {
     loop {
         tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         node.pool.prune();
         node.update_gauges();
         let now = node.clock.monotonic_now();
-        node.ledgers.forget(now.saturating_sub(PROGRAM_FORGET_AFTER));
+        node.ledgers.forget(now.saturating_sub(PROGRAM_IDLE_MAX));
     }
 }
 
@@ -144,13 +144,13 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = reload.recv() => check_settings(settings_path, node),
+            _ = reload.recv() => compare_settings(settings_path, node),
         }
     }
 }
 
 /// Compares the settings file with the settings in force.
-fn check_settings(path: &Path, node: &FrontNode) {
+fn compare_settings(path: &Path, node: &FrontNode) {
     match NodeSettings::read(path) {
         Ok(settings) if settings == node.settings => log::info!("event=reloaded changed=false"),
         Ok(_) => log::warn!("event=reloaded changed=true remedy=\"restart to apply\""),
@@ -159,7 +159,7 @@
 }
 
 /// Stops as planned: serves what is under way and what still comes.
-async fn stop(node: &Rc<FrontNode>, peers: &Peers) {
+async fn shut_down(node: &Rc<FrontNode>, peers: &Peers) {
     let begun_at = Instant::now();
     log::info!(
         "event=stop_begun connections={} requests={}",
@@ -167,17 +167,17 @@
         node.caller_requests.get()
     );
     node.stop.leave();
-    tokio::time::sleep(STOP_IDLE_KEEP).await;
+    tokio::time::sleep(STOP_IDLE_CLOSE_DELAY).await;
     node.stop.close_idle();
-    let ends_at = begun_at + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
-    while Instant::now() < ends_at {
-        if node.caller_requests.get() == 0 && begun_at.elapsed() >= STOP_LINGER {
+    let deadline = begun_at + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
+    while Instant::now() < deadline {
+        if node.caller_requests.get() == 0 && begun_at.elapsed() >= STOP_DURATION_MIN {
             break;
         }
-        tokio::time::sleep(STOP_CHECK).await;
+        tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     let now = node.clock.monotonic_now();
-    node.ledgers.give_back_all(now.saturating_sub(STOP_GIVE_BACK)).await;
+    node.ledgers.give_back_all(now.saturating_sub(STOP_RELEASE_WINDOW)).await;
     peers.say_goodbye(node).await;
     log::info!(
         "event=stopped elapsed_ms={} connections={} requests={}",
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -19,19 +19,19 @@
 
 use super::clock::FrontClock;
 use super::metrics::FrontMetrics;
-use super::stop::{Count, StopSignal};
+use super::stop::{ActiveCount, StopSignal};
 use crate::front::connection::BackendPool;
 use crate::front::connection::peers::Peers;
 use crate::front::connection::reach::StoreReach;
 
 /// Shortest and longest pause that a caller over its team's limit is asked to make.
-const LIMIT_RETRY_MIN_MS: u64 = 50;
-const LIMIT_RETRY_MAX_MS: u64 = 2_000;
+const LIMIT_RETRY_AFTER_MIN_MS: u64 = 50;
+const LIMIT_RETRY_AFTER_MAX_MS: u64 = 2_000;
 /// Part of the process's memory that cached turns may use.
-const TURN_CACHE_SHARE: u64 = 8;
+const TURN_CACHE_MEMORY_DIVISOR: u64 = 8;
 /// Shortest and longest pause before a turn's record is written once more.
-const KEEP_RETRY_PAUSE_MIN: Duration = Duration::from_millis(50);
-const KEEP_RETRY_PAUSE_MAX: Duration = Duration::from_millis(400);
+const PERSIST_RETRY_DELAY_MIN: Duration = Duration::from_millis(50);
+const PERSIST_RETRY_DELAY_MAX: Duration = Duration::from_millis(400);
 
 /// Everything that the requests and tasks of a node share.
 pub struct FrontNode {
@@ -60,9 +60,9 @@
     /// Planned stop.
     pub stop: StopSignal,
     /// Open connections of callers.
-    pub caller_connections: Count,
+    pub caller_connections: ActiveCount,
     /// Requests of callers under way.
-    pub caller_requests: Count,
+    pub caller_requests: ActiveCount,
     table: RefCell<Rc<RoutingTable>>,
     freshness: RefCell<Freshness>,
     has_servers: Cell<bool>,
@@ -83,7 +83,8 @@
         log::info!("event=claimant vm={} claimant={claimant}", settings.vm_name);
         let rows: SharedRowStore = Rc::new(store.clone());
         let cache_max_bytes =
-            usize::try_from(settings.memory_max_bytes / TURN_CACHE_SHARE).unwrap_or(usize::MAX);
+            usize::try_from(settings.memory_max_bytes / TURN_CACHE_MEMORY_DIVISOR)
+                .unwrap_or(usize::MAX);
         Self {
             metrics,
             store,
@@ -91,12 +92,12 @@
             servers: RefCell::default(),
             placement: RefCell::default(),
             limiter: RefCell::default(),
-            ledgers: Ledgers::new(Rc::clone(&rows), clock.steady(), claimant, peers),
+            ledgers: Ledgers::new(Rc::clone(&rows), clock.monotonic_clock(), claimant, peers),
             turns: Turns::new(rows, cache_max_bytes),
             pool: BackendPool::default(),
             stop: StopSignal::default(),
-            caller_connections: Count::default(),
-            caller_requests: Count::default(),
+            caller_connections: ActiveCount::default(),
+            caller_requests: ActiveCount::default(),
             table: RefCell::default(),
             freshness: RefCell::new(Freshness::new(settings.key_withdrawal)),
             has_servers: Cell::new(false),
@@ -149,7 +150,7 @@
     /// # Errors
     ///
     /// Fails when the team is over its limit.
-    pub fn take_limit(&self, team: &Team, step: Step) -> Result<Duration, Refusal> {
+    pub fn acquire_limit_token(&self, team: &Team, step: Step) -> Result<Duration, Refusal> {
         if team.rate_per_s <= 0.0 {
             return Ok(Duration::ZERO);
         }
@@ -164,13 +165,13 @@
                 team.name, team.rate_per_s
             );
             let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
-            let wait_ms = wait_ms.clamp(LIMIT_RETRY_MIN_MS, LIMIT_RETRY_MAX_MS);
+            let wait_ms = wait_ms.clamp(LIMIT_RETRY_AFTER_MIN_MS, LIMIT_RETRY_AFTER_MAX_MS);
             Refusal::not_run(RefusalKind::RateLimited, message).retry_after_ms(wait_ms)
         })
     }
 
     /// Gives back a request that was counted and never sent.
-    pub fn refund_limit(&self, team: &str) {
+    pub fn refund_limit_token(&self, team: &str) {
         self.limiter.borrow_mut().refund(team_hash(team));
     }
 
@@ -222,26 +223,31 @@
         }
     }
 
-    /// Keeps a turn; returns whether the store accepted it before `ends_at`.
+    /// Keeps a turn; returns whether the store accepted it before `deadline`.
     ///
     /// The end of the answer waits for this: a caller that has it may rely on the turn, whatever
     /// fails afterwards.
-    pub async fn keep_turn(&self, turn: &str, record: Rc<TurnRecord>, ends_at: Instant) -> bool {
-        let mut pause = KEEP_RETRY_PAUSE_MIN;
+    pub async fn persist_turn(
+        &self,
+        turn: &str,
+        record: Rc<TurnRecord>,
+        deadline: Instant,
+    ) -> bool {
+        let mut delay = PERSIST_RETRY_DELAY_MIN;
         loop {
             let work = self.turns.keep(turn, Rc::clone(&record));
-            let cause = match tokio::time::timeout_at(ends_at.into(), work).await {
+            let cause = match tokio::time::timeout_at(deadline.into(), work).await {
                 Ok(Ok(())) => return true,
                 Ok(Err(error)) => error.to_string(),
                 Err(_) => "the deadline passed".to_owned(),
             };
-            let is_retried = Instant::now() + pause < ends_at;
+            let is_retried = Instant::now() + delay < deadline;
             log::warn!("event=turn_not_kept request={turn} cause=\"{cause}\" retried={is_retried}");
             if !is_retried {
                 return false;
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(KEEP_RETRY_PAUSE_MAX);
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(PERSIST_RETRY_DELAY_MAX);
         }
     }
 }
--- a/crates/daemon/src/front/process/stop.rs
+++ b/crates/daemon/src/front/process/stop.rs
@@ -45,7 +45,7 @@
     }
 
     /// Completes when idle connections are to be closed.
-    pub async fn idle_close(&self) {
+    pub async fn wait_for_idle_close(&self) {
         let mut phase = self.phase.subscribe();
         // The sender lives as long as this borrow, so waiting cannot fail.
         let _ = phase.wait_for(|phase| *phase >= Phase::Closing).await;
@@ -54,18 +54,18 @@
 
 /// Number of things under way.
 #[derive(Debug, Clone, Default)]
-pub struct Count(Rc<Cell<usize>>);
+pub struct ActiveCount(Rc<Cell<usize>>);
 
 /// Counts one thing until dropped.
 #[derive(Debug)]
-pub struct Entered(Count);
+pub struct ActiveGuard(ActiveCount);
 
-impl Count {
+impl ActiveCount {
     /// Counts one more until the returned guard is dropped.
     #[must_use]
-    pub fn enter(&self) -> Entered {
+    pub fn track(&self) -> ActiveGuard {
         self.0.set(self.0.get() + 1);
-        Entered(self.clone())
+        ActiveGuard(self.clone())
     }
 
     /// Returns the number of guards alive.
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for Entered {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.0.set(self.0.0.get().saturating_sub(1));
     }
--- a/crates/daemon/src/front/request/admission.rs
+++ b/crates/daemon/src/front/request/admission.rs
@@ -38,7 +38,7 @@
     /// Body to forward.
     pub body: Bytes,
     /// Time after which the caller or the operator no longer waits.
-    pub ends_at: Instant,
+    pub deadline: Instant,
     /// Time at which it was read.
     pub arrived_at: Instant,
     /// Set for turns with a token budget or a kept history.
@@ -46,42 +46,42 @@
     /// Key of its placement: equal keys share prompts.
     pub placement_key: String,
     /// The request in its team's limit.
-    pub counted: CountedRequest,
+    pub limit_reservation: LimitReservation,
 }
 
 /// A request counted in its team's limit; given back when dropped before it was sent.
 #[derive(Default)]
-pub struct CountedRequest {
-    unsent: Option<(Rc<FrontNode>, TeamId)>,
+pub struct LimitReservation {
+    refund_to: Option<(Rc<FrontNode>, TeamId)>,
 }
 
-impl CountedRequest {
-    async fn take(
+impl LimitReservation {
+    async fn acquire(
         node: &Rc<FrontNode>,
         table: &RoutingTable,
         team: &AdmittedTeam,
         step: Step,
     ) -> Result<Self, Refusal> {
-        let Some(known) = table.team_of_key(&team.key) else { return Ok(Self::default()) };
-        let wait = node.take_limit(known, step)?;
+        let Some(spec) = table.team_of_key(&team.key) else { return Ok(Self::default()) };
+        let wait = node.acquire_limit_token(spec, step)?;
         node.metrics.limit_wait_seconds.observe(wait.as_secs_f64());
-        let counted = Self { unsent: Some((Rc::clone(node), team.name.clone())) };
+        let reservation = Self { refund_to: Some((Rc::clone(node), team.name.clone())) };
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
-        Ok(counted)
+        Ok(reservation)
     }
 
     /// Records that the request was sent.
-    pub fn note_sent(&mut self) {
-        self.unsent = None;
+    pub fn commit(&mut self) {
+        self.refund_to = None;
     }
 }
 
-impl Drop for CountedRequest {
+impl Drop for LimitReservation {
     fn drop(&mut self) {
-        if let Some((node, team)) = self.unsent.take() {
-            node.refund_limit(&team);
+        if let Some((node, team)) = self.refund_to.take() {
+            node.refund_limit_token(&team);
         }
     }
 }
@@ -136,19 +136,20 @@
     let service = route.service_for(&context.id).cloned().ok_or_else(|| {
         Refusal::not_run(RefusalKind::NoBackend, "the route names no service; publish one")
     })?;
-    let deadline = context.deadline.unwrap_or(DEADLINE_DEFAULT).min(route.timeout);
-    let ends_at = request.arrived_at + deadline;
+    let time_limit = context.deadline.unwrap_or(DEADLINE_DEFAULT).min(route.timeout);
+    let deadline = request.arrived_at + time_limit;
     let team_name = team.as_ref().map(|team| team.name.as_str()).unwrap_or_default();
     let service_spec = table.service(&service);
-    let opened =
-        turn::open(node, &context, &route, service_spec, team_name, &request.body, ends_at).await?;
-    let time_left = ends_at.saturating_duration_since(Instant::now());
-    let step = if opened.begins { Step::Begins } else { Step::Continues { time_left } };
-    let counted = match &team {
-        Some(team) => CountedRequest::take(node, &table, team, step).await?,
-        None => CountedRequest::default(),
+    let prepared =
+        turn::prepare(node, &context, &route, service_spec, team_name, &request.body, deadline)
+            .await?;
+    let time_left = deadline.saturating_duration_since(Instant::now());
+    let step = if prepared.starts_program { Step::Begins } else { Step::Continues { time_left } };
+    let limit_reservation = match &team {
+        Some(team) => LimitReservation::acquire(node, &table, team, step).await?,
+        None => LimitReservation::default(),
     };
-    let placement_key = opened.placement_key;
+    let placement_key = prepared.placement_key;
     Ok(Admitted {
         headers: forwarded_headers(request, team.as_ref(), &route),
         method: request.head.method().clone(),
@@ -161,12 +162,12 @@
         context,
         service,
         team,
-        body: opened.body,
-        ends_at,
+        body: prepared.body,
+        deadline,
         arrived_at: request.arrived_at,
-        turn: opened.turn,
+        turn: prepared.turn,
         placement_key,
-        counted,
+        limit_reservation,
         route,
     })
 }
@@ -231,7 +232,7 @@
     if route.repeat.is_stream() {
         let rank = team.and_then(|team| team.priority).unwrap_or(route.priority);
         let priority = u64::from(rank) + ENGINE_PRIORITY_BASE;
-        forwarded.insert(headers::ENGINE_PRIORITY, priority.min(ENGINE_PRIORITY_LAST).into());
+        forwarded.insert(headers::ENGINE_PRIORITY, priority.min(ENGINE_PRIORITY_MAX).into());
     }
     forwarded
 }
@@ -239,4 +240,4 @@
 /// Priority at an engine of requests of rank 0; leaves room for more urgent ones.
 const ENGINE_PRIORITY_BASE: u64 = 3;
 /// Least urgent priority at an engine.
-const ENGINE_PRIORITY_LAST: u64 = 9;
+const ENGINE_PRIORITY_MAX: u64 = 9;
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout_at;
 
 use super::admission::Admitted;
-use super::outbound::{self, Verdict};
+use super::outbound::{self, ResponseKind};
 use super::{relay, stream};
 use crate::front::connection::backend::{BackendConnection, SendOutcome};
 use crate::front::connection::responder::Responder;
@@ -28,9 +28,9 @@
 /// Idle time up to which a connection is used for other requests.
 const IDLE_MAX: Duration = Duration::from_secs(10);
 /// Pause before asking servers again that were all busy.
-const BUSY_PAUSE: Duration = Duration::from_millis(15);
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(15);
 /// Part of the remaining time that a request may wait for a busy service.
-const BUSY_SHARE: u32 = 3;
+const BUSY_WAIT_DIVISOR: u32 = 3;
 /// Least time left with which a request is sent; less cannot be answered.
 const SEND_TIME_MIN: Duration = Duration::from_millis(5);
 
@@ -43,11 +43,11 @@
 }
 
 /// Result of relaying an answer.
-pub enum Relayed {
+pub enum RelayOutcome {
     /// The caller has the whole answer.
     Complete,
     /// The backend server broke off; says whether the connection can still be trusted.
-    BrokenOff(String),
+    Incomplete(String),
 }
 
 /// State of a request over its attempts.
@@ -55,34 +55,34 @@
     pub(super) node: &'a Rc<FrontNode>,
     pub(super) admitted: Admitted,
     /// Servers that refused the request without running it, since all were last asked.
-    refused_by: Vec<BackendId>,
+    excluded: Vec<BackendId>,
     /// Servers that may have run the request.
-    ran_at: Vec<BackendId>,
+    may_have_run_on: Vec<BackendId>,
     /// Runs without a whole answer.
-    losses: u32,
+    lost_count: u32,
     /// Last event handed to the caller.
     pub(super) last_event: Option<u64>,
     busy_until: Instant,
     /// Whether the request was handed to any server.
     is_sent: bool,
     /// Whether the caller was handed an event.
-    pub(super) has_event: bool,
+    pub(super) has_forwarded_event: bool,
 }
 
 /// Counts a request under way at a backend server.
-struct InFlight<'a> {
+struct InFlightGuard<'a> {
     node: &'a FrontNode,
     server: BackendId,
 }
 
-impl<'a> InFlight<'a> {
+impl<'a> InFlightGuard<'a> {
     fn begin(node: &'a FrontNode, server: &str) -> Self {
         node.placement.borrow_mut().begin(server);
         Self { node, server: server.to_owned() }
     }
 }
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.node.placement.borrow_mut().end(&self.server);
     }
@@ -95,98 +95,98 @@
     responder: &mut Responder<'_>,
 ) -> Result<(), Failure> {
     let now = Instant::now();
-    let busy_until = now + admitted.ends_at.saturating_duration_since(now) / BUSY_SHARE;
+    let busy_until = now + admitted.deadline.saturating_duration_since(now) / BUSY_WAIT_DIVISOR;
     let last_event = admitted.context.resume_after;
     let mut attempts = Attempts {
         node,
         admitted,
-        refused_by: Vec::new(),
-        ran_at: Vec::new(),
-        losses: 0,
+        excluded: Vec::new(),
+        may_have_run_on: Vec::new(),
+        lost_count: 0,
         last_event,
         busy_until,
         is_sent: false,
-        has_event: false,
+        has_forwarded_event: false,
     };
     loop {
-        if let Some(result) = attempts.step(responder).await? {
+        if let Some(result) = attempts.attempt_once(responder).await? {
             return result;
         }
     }
 }
 
 /// Result of one step: `None` asks for another.
-type Step = Result<Option<Result<(), Failure>>, Failure>;
+type AttemptResult = Result<Option<Result<(), Failure>>, Failure>;
 
 impl Attempts<'_> {
-    async fn step(&mut self, responder: &mut Responder<'_>) -> Step {
-        let time_left = self.admitted.ends_at.saturating_duration_since(Instant::now());
+    async fn attempt_once(&mut self, responder: &mut Responder<'_>) -> AttemptResult {
+        let time_left = self.admitted.deadline.saturating_duration_since(Instant::now());
         if time_left < SEND_TIME_MIN {
-            return Err(self.out_of_time());
+            return Err(self.deadline_failure());
         }
         self.recheck_key()?;
-        let Some(server) = self.choose() else { return self.wait_for_server().await };
-        let in_flight = InFlight::begin(self.node, &server.id);
+        let Some(server) = self.choose_server() else { return self.wait_for_server().await };
+        let in_flight = InFlightGuard::begin(self.node, &server.id);
         let mut connection = match self.connect(&server).await {
             Ok(connection) => connection,
             Err(error) => {
                 self.note_failure(&server, "connect", &error.to_string());
                 self.node.metrics.count_retry(RetryReason::BackendUnreachable);
-                self.refused_by.push(server.id.clone());
+                self.excluded.push(server.id.clone());
                 return Ok(None);
             }
         };
         let resume_after = self.last_event.filter(|_| responder.is_head_sent());
         let request = outbound::build(&self.admitted, &server, time_left, resume_after)
-            .map_err(|error| self.invalid(&error))?;
-        let ends_at = self.admitted.ends_at.into();
+            .map_err(|error| self.invalid_request(&error))?;
+        let deadline = self.admitted.deadline.into();
         let sent_at = Instant::now();
         self.note_sending(&server, time_left, connection.is_reused);
-        let Ok(outcome) = timeout_at(ends_at, connection.send(request)).await else {
-            self.mark_run(&server.id);
-            return Err(self.out_of_time());
+        let Ok(outcome) = timeout_at(deadline, connection.send(request)).await else {
+            self.mark_may_have_run(&server.id);
+            return Err(self.deadline_failure());
         };
         let response = match outcome {
             SendOutcome::Answered(response) => response,
             SendOutcome::NotSent(cause) => {
                 if !connection.is_reused {
                     self.note_failure(&server, "send", &cause);
-                    self.refused_by.push(server.id.clone());
+                    self.excluded.push(server.id.clone());
                 }
                 self.node.metrics.count_retry(RetryReason::BackendUnreachable);
                 return Ok(None);
             }
             SendOutcome::Lost(cause) => {
-                self.mark_run(&server.id);
-                return self.lost(&server, &cause);
+                self.mark_may_have_run(&server.id);
+                return self.handle_lost_attempt(&server, &cause);
             }
         };
-        let result = self.answered(responder, &server, connection, response, sent_at).await;
+        let result = self.handle_response(responder, &server, connection, response, sent_at).await;
         drop(in_flight);
         result
     }
 
     fn recheck_key(&self) -> Result<(), Failure> {
         let Some(team) = &self.admitted.team else { return Ok(()) };
-        self.node.require_fresh().map_err(|refusal| self.refused_before_send(refusal))?;
+        self.node.require_fresh().map_err(|refusal| self.failure_before_send(refusal))?;
         if self.node.table().team_of_key(&team.key).is_some_and(|known| known.name == team.name) {
             return Ok(());
         }
         let message = "the key was withdrawn; send a key in force";
-        Err(self.refused_before_send(Refusal::not_run(RefusalKind::KeyWithdrawn, message)))
+        Err(self.failure_before_send(Refusal::not_run(RefusalKind::KeyWithdrawn, message)))
     }
 
     /// Returns a refusal that is true for a request that may have run before.
-    fn refused_before_send(&self, refusal: Refusal) -> Failure {
-        if self.ran_at.is_empty() {
+    fn failure_before_send(&self, refusal: Refusal) -> Failure {
+        if self.may_have_run_on.is_empty() {
             return Failure::Refused(refusal);
         }
         let message = format!("an earlier attempt was lost, and no other could be made: {refusal}");
         Failure::Refused(Refusal::unknown(RefusalKind::BackendFailed, message))
     }
 
-    fn out_of_time(&self) -> Failure {
-        if self.ran_at.is_empty() {
+    fn deadline_failure(&self) -> Failure {
+        if self.may_have_run_on.is_empty() {
             let message = "no backend server could take the request in time; retry later";
             return Failure::Refused(Refusal::not_run(RefusalKind::NoBackend, message));
         }
@@ -194,14 +194,14 @@
         Failure::Refused(Refusal::unknown(RefusalKind::DeadlineExceeded, message))
     }
 
-    fn invalid(&self, error: &http::Error) -> Failure {
+    fn invalid_request(&self, error: &http::Error) -> Failure {
         let message = format!("the request cannot be forwarded ({error}); check its headers");
-        self.refused_before_send(Refusal::not_run(RefusalKind::InvalidRequest, message))
+        self.failure_before_send(Refusal::not_run(RefusalKind::InvalidRequest, message))
     }
 
-    fn choose(&self) -> Option<ServerEntry> {
+    fn choose_server(&self) -> Option<ServerEntry> {
         let servers = self.node.servers.borrow();
-        if let Some(id) = self.server_to_stay_at() {
+        if let Some(id) = self.pinned_server() {
             return servers.ready_by_id(id).cloned();
         }
         let policy = match self.admitted.turn {
@@ -212,7 +212,7 @@
             policy,
             key: &self.admitted.placement_key,
             may_repeat: self.admitted.route.repeat.may_repeat(),
-            excluded: &self.refused_by,
+            excluded: &self.excluded,
         };
         let ready = servers.ready(&self.admitted.service);
         let now = self.node.clock.monotonic_now();
@@ -220,22 +220,22 @@
     }
 
     /// Returns the server that a further run must use, because no more servers may run it.
-    fn server_to_stay_at(&self) -> Option<&BackendId> {
-        let runs = u32::try_from(self.ran_at.len()).unwrap_or(u32::MAX);
-        let last = self.ran_at.last()?;
+    fn pinned_server(&self) -> Option<&BackendId> {
+        let runs = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
+        let last = self.may_have_run_on.last()?;
         let is_listed = self.node.servers.borrow().ready_by_id(last).is_some();
         (runs >= self.admitted.route.attempts_max && is_listed).then_some(last)
     }
 
     /// Waits while every server is busy, within a part of the request's time.
-    async fn wait_for_server(&mut self) -> Step {
-        if self.refused_by.is_empty() || Instant::now() + BUSY_PAUSE > self.busy_until {
+    async fn wait_for_server(&mut self) -> AttemptResult {
+        if self.excluded.is_empty() || Instant::now() + BUSY_RETRY_DELAY > self.busy_until {
             let message = "no backend server can take the request now; retry later";
             let refusal = Refusal::not_run(RefusalKind::NoBackend, message);
-            return Err(self.refused_before_send(refusal.retry_after_ms(RETRY_BUSY_MS)));
+            return Err(self.failure_before_send(refusal.retry_after_ms(BUSY_RETRY_AFTER_MS)));
         }
-        tokio::time::sleep(BUSY_PAUSE).await;
-        self.refused_by.clear();
+        tokio::time::sleep(BUSY_RETRY_DELAY).await;
+        self.excluded.clear();
         Ok(None)
     }
 
@@ -249,19 +249,19 @@
         BackendConnection::open(server.address).await
     }
 
-    async fn answered(
+    async fn handle_response(
         &mut self,
         responder: &mut Responder<'_>,
         server: &ServerEntry,
         mut connection: BackendConnection,
         response: Response<Incoming>,
         sent_at: Instant,
-    ) -> Step {
+    ) -> AttemptResult {
         if let Some(seconds) = outbound::keep_alive_seconds(&response) {
             connection.note_keep_alive(seconds);
         }
-        match outbound::judge(&response, &self.admitted.context.id) {
-            Verdict::NotRun(status) => {
+        match outbound::classify(&response, &self.admitted.context.id) {
+            ResponseKind::NotRun(status) => {
                 log::info!(
                     "event=not_run request={} server={} status={status}",
                     self.admitted.context.id,
@@ -271,36 +271,36 @@
                     self.note_failure(server, "other_server", "another server has the address");
                 }
                 self.node.metrics.count_retry(RetryReason::BackendBusy);
-                self.refused_by.push(server.id.clone());
+                self.excluded.push(server.id.clone());
                 if relay::discard(response).await {
                     self.node.pool.put(server.address, connection);
                 }
                 Ok(None)
             }
-            Verdict::Foreign(cause) => {
-                self.mark_run(&server.id);
+            ResponseKind::Invalid(cause) => {
+                self.mark_may_have_run(&server.id);
                 drop(connection);
-                self.lost(server, cause)
+                self.handle_lost_attempt(server, cause)
             }
-            Verdict::Genuine => {
-                self.mark_run(&server.id);
+            ResponseKind::Valid => {
+                self.mark_may_have_run(&server.id);
                 let status = response.status();
                 let is_stream = status.is_success() && self.admitted.route.repeat.is_stream();
-                let relayed = if is_stream {
-                    stream::relay(self, responder, response).await
+                let outcome = if is_stream {
+                    stream::forward_events(self, responder, response).await
                 } else {
-                    relay::whole(self, responder, response).await
+                    relay::forward_body(self, responder, response).await
                 };
-                match relayed? {
-                    Relayed::Complete => {
+                match outcome? {
+                    RelayOutcome::Complete => {
                         self.node.placement.borrow_mut().note_success(&server.id);
                         self.node.pool.put(server.address, connection);
                         self.log_answered(server, status, sent_at);
                         Ok(Some(Ok(())))
                     }
-                    Relayed::BrokenOff(cause) => {
+                    RelayOutcome::Incomplete(cause) => {
                         drop(connection);
-                        self.lost(server, &cause)
+                        self.handle_lost_attempt(server, &cause)
                     }
                 }
             }
@@ -308,26 +308,26 @@
     }
 
     /// Decides what follows an attempt that may have run without a whole answer.
-    fn lost(&mut self, server: &ServerEntry, cause: &str) -> Step {
+    fn handle_lost_attempt(&mut self, server: &ServerEntry, cause: &str) -> AttemptResult {
         self.note_failure(server, "answer", cause);
-        let runs = u32::try_from(self.ran_at.len()).unwrap_or(u32::MAX);
-        let may_go_on = runs < self.admitted.route.attempts_max
+        let runs = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
+        let has_candidate = runs < self.admitted.route.attempts_max
             || self.node.servers.borrow().ready_by_id(&server.id).is_some();
-        self.losses += 1;
-        let tries_left = self.losses < LOST_MAX;
-        if self.admitted.route.repeat.may_repeat() && may_go_on && tries_left {
+        self.lost_count += 1;
+        let has_attempts_left = self.lost_count < LOST_ATTEMPTS_MAX;
+        if self.admitted.route.repeat.may_repeat() && has_candidate && has_attempts_left {
             self.node.metrics.count_retry(RetryReason::AttemptLost);
-            self.refused_by.clear();
+            self.excluded.clear();
             return Ok(None);
         }
         let message = format!("the backend server broke off ({cause}); check the effect first");
         Err(Failure::Refused(Refusal::unknown(RefusalKind::BackendFailed, message)))
     }
 
-    fn mark_run(&mut self, server: &BackendId) {
-        self.admitted.counted.note_sent();
-        if !self.ran_at.contains(server) {
-            self.ran_at.push(server.clone());
+    fn mark_may_have_run(&mut self, server: &BackendId) {
+        self.admitted.limit_reservation.commit();
+        if !self.may_have_run_on.contains(server) {
+            self.may_have_run_on.push(server.clone());
         }
     }
 
@@ -376,6 +376,6 @@
 }
 
 /// Pause that a caller is asked to make when every server is busy, in milliseconds.
-const RETRY_BUSY_MS: u64 = 150;
+const BUSY_RETRY_AFTER_MS: u64 = 150;
 /// Runs without a whole answer after which a repeatable request is given up.
-const LOST_MAX: u32 = 4;
+const LOST_ATTEMPTS_MAX: u32 = 4;
--- a/crates/daemon/src/front/request/frames.rs
+++ b/crates/daemon/src/front/request/frames.rs
@@ -12,9 +12,9 @@
 /// # Errors
 ///
 /// Returns why the body cannot be read to its end.
-pub async fn next_data(body: &mut Incoming, ends_at: Instant) -> Result<Option<Bytes>, String> {
+pub async fn next_data(body: &mut Incoming, deadline: Instant) -> Result<Option<Bytes>, String> {
     loop {
-        match timeout_at(ends_at.into(), body.frame()).await {
+        match timeout_at(deadline.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
                 // Trailers carry nothing for the caller.
                 if let Ok(data) = frame.into_data() {
--- a/crates/daemon/src/front/request/outbound.rs
+++ b/crates/daemon/src/front/request/outbound.rs
@@ -34,41 +34,41 @@
 
 /// What the head of an answer means.
 #[derive(Debug)]
-pub enum Verdict {
+pub enum ResponseKind {
     /// The request has not run.
     NotRun(StatusCode),
     /// The backend server's answer, to be returned as it is.
-    Genuine,
+    Valid,
     /// Not an answer to this request; the connection must not be used again.
-    Foreign(&'static str),
+    Invalid(&'static str),
 }
 
 /// Judges the head of an answer.
 #[must_use]
-pub fn judge(response: &Response<Incoming>, request_id: &str) -> Verdict {
+pub fn classify(response: &Response<Incoming>, request_id: &str) -> ResponseKind {
     let fields = response.headers();
     let status = response.status();
     let echoed = fields.get(headers::REQUEST_ID);
     if echoed.is_some_and(|echoed| echoed.as_bytes() != request_id.as_bytes()) {
-        return Verdict::Foreign("it names another request");
+        return ResponseKind::Invalid("it names another request");
     }
     if fields.contains_key(headers::NOT_RUN) || status == StatusCode::MISDIRECTED_REQUEST {
-        return Verdict::NotRun(status);
+        return ResponseKind::NotRun(status);
     }
     if echoed.is_none() {
-        return Verdict::Foreign("it names no request");
+        return ResponseKind::Invalid("it names no request");
     }
     if fields.contains_key(header::CONTENT_ENCODING) {
-        return Verdict::Foreign("its body is encoded");
+        return ResponseKind::Invalid("its body is encoded");
     }
     if status.is_success() && !fields.contains_key(headers::SERVER_SIGNATURE) {
-        return Verdict::Foreign("it bears no signature");
+        return ResponseKind::Invalid("it bears no signature");
     }
     if matches!(status.as_u16(), 408 | 429 | 503) {
         // Callers take these for a promise that the request has not run.
-        return Verdict::Foreign("it promises what the backend server did not");
+        return ResponseKind::Invalid("it promises what the backend server did not");
     }
-    Verdict::Genuine
+    ResponseKind::Valid
 }
 
 /// Returns the idle time in seconds that an answer names.
--- a/crates/daemon/src/front/request/relay.rs
+++ b/crates/daemon/src/front/request/relay.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt as _;
 use hyper::body::{Body as _, Incoming};
 
-use super::attempt::{Attempts, Failure, Relayed};
+use super::attempt::{Attempts, Failure, RelayOutcome};
 use super::frames::next_data;
 use crate::front::connection::responder::{BodyLength, Responder};
 
@@ -28,34 +28,34 @@
 }
 
 /// Passes an answer on once it is whole, or in parts if it is long.
-pub async fn whole(
+pub async fn forward_body(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
     response: Response<Incoming>,
-) -> Result<Relayed, Failure> {
+) -> Result<RelayOutcome, Failure> {
     let (head, mut body) = response.into_parts();
     let mut buffered = BytesMut::new();
-    let mut is_passing = false;
+    let mut is_chunked = false;
     loop {
-        let data = match next_data(&mut body, attempts.admitted.ends_at).await {
+        let data = match next_data(&mut body, attempts.admitted.deadline).await {
             Ok(Some(data)) => data,
             Ok(None) => break,
-            Err(cause) => return Ok(Relayed::BrokenOff(cause)),
+            Err(cause) => return Ok(RelayOutcome::Incomplete(cause)),
         };
         buffered.extend_from_slice(&data);
         if buffered.len() > BUFFERED_MAX_BYTES {
-            if !is_passing {
+            if !is_chunked {
                 responder
                     .send_head(head.status, &head.headers, BodyLength::Chunked)
                     .map_err(Failure::CallerGone)?;
-                is_passing = true;
+                is_chunked = true;
             }
-            let part = buffered.split().freeze();
-            responder.send_chunk(part).await.map_err(Failure::CallerGone)?;
+            let chunk = buffered.split().freeze();
+            responder.send_chunk(chunk).await.map_err(Failure::CallerGone)?;
         }
     }
     let rest = buffered.freeze();
-    if !is_passing {
+    if !is_chunked {
         let length = match declared_length(&head.headers) {
             Some(length) if attempts.admitted.method == Method::HEAD => length,
             _ => rest.len() as u64,
@@ -65,7 +65,7 @@
             .map_err(Failure::CallerGone)?;
     }
     send_rest(responder, rest).await?;
-    Ok(Relayed::Complete)
+    Ok(RelayOutcome::Complete)
 }
 
 async fn send_rest(responder: &mut Responder<'_>, rest: Bytes) -> Result<(), Failure> {
--- a/crates/daemon/src/front/request/stream.rs
+++ b/crates/daemon/src/front/request/stream.rs
@@ -6,16 +6,16 @@
 use http::Response;
 use hyper::body::Incoming;
 
-use super::attempt::{Attempts, Failure, Relayed};
+use super::attempt::{Attempts, Failure, RelayOutcome};
 use super::frames::next_data;
 use crate::front::connection::responder::{BodyLength, Responder};
 
 /// Passes a stream on; only whole events in their order reach the caller.
-pub async fn relay(
+pub async fn forward_events(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
     response: Response<Incoming>,
-) -> Result<Relayed, Failure> {
+) -> Result<RelayOutcome, Failure> {
     let (head, mut body) = response.into_parts();
     if !responder.is_head_sent() {
         responder
@@ -24,37 +24,37 @@
     }
     let mut splitter = EventSplitter::default();
     loop {
-        let data = match next_data(&mut body, attempts.admitted.ends_at).await {
+        let data = match next_data(&mut body, attempts.admitted.deadline).await {
             Ok(Some(data)) => data,
             Ok(None) => break,
-            Err(cause) => return Ok(Relayed::BrokenOff(cause)),
+            Err(cause) => return Ok(RelayOutcome::Incomplete(cause)),
         };
         if !splitter.push(&data) {
-            return Ok(Relayed::BrokenOff("an event is too long".to_owned()));
+            return Ok(RelayOutcome::Incomplete("an event is too long".to_owned()));
         }
         while let Some(event) = splitter.next_event() {
-            if let Err(cause) = pass(attempts, responder, event).await? {
-                return Ok(Relayed::BrokenOff(cause));
+            if let Err(cause) = forward_event(attempts, responder, event).await? {
+                return Ok(RelayOutcome::Incomplete(cause));
             }
         }
     }
     if splitter.has_partial() {
-        return Ok(Relayed::BrokenOff("it ended within an event".to_owned()));
+        return Ok(RelayOutcome::Incomplete("it ended within an event".to_owned()));
     }
-    let ends_at = attempts.admitted.ends_at;
+    let deadline = attempts.admitted.deadline;
     if let Some(turn) = &mut attempts.admitted.turn
-        && !turn.keep(ends_at).await
+        && !turn.persist(deadline).await
     {
         let message = "the store did not accept the turn in time; send it again from its start";
         let refusal = Refusal::unknown(RefusalKind::PlatformUnavailable, message);
         return Err(Failure::Refused(refusal));
     }
     responder.finish().await.map_err(Failure::CallerGone)?;
-    Ok(Relayed::Complete)
+    Ok(RelayOutcome::Complete)
 }
 
 /// Passes one event on, unless it does not follow the last one.
-async fn pass(
+async fn forward_event(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
     event: StreamEvent,
@@ -67,7 +67,7 @@
         }
         attempts.last_event = Some(id);
     }
-    if !std::mem::replace(&mut attempts.has_event, true) {
+    if !std::mem::replace(&mut attempts.has_forwarded_event, true) {
         let elapsed = attempts.admitted.arrived_at.elapsed();
         attempts.node.metrics.first_event_seconds.observe(elapsed.as_secs_f64());
     }
--- a/crates/daemon/src/front/request/turn.rs
+++ b/crates/daemon/src/front/request/turn.rs
@@ -20,10 +20,10 @@
     reserved: Option<(String, u64)>,
     tokens_per_event: u64,
     delivered_events: u64,
-    kept: Option<KeptTurn>,
+    pending: Option<PendingRecord>,
 }
 
-struct KeptTurn {
+struct PendingRecord {
     team: String,
     chain: Vec<String>,
     input: Bytes,
@@ -31,7 +31,7 @@
 }
 
 /// A turn's part in the request that is sent.
-pub struct Opened {
+pub struct PreparedRequest {
     /// Set when the turn has a budget or is kept.
     pub turn: Option<OpenTurn>,
     /// Body to send.
@@ -39,26 +39,26 @@
     /// Key of its placement.
     pub placement_key: String,
     /// Whether the turn begins a program.
-    pub begins: bool,
+    pub starts_program: bool,
 }
 
 /// Reads the history of a turn and reserves its tokens; other requests pass unchanged.
-pub async fn open(
+pub async fn prepare(
     node: &Rc<FrontNode>,
     context: &RequestContext,
     route: &Route,
     service: Option<&ServiceSpec>,
     team: &str,
     body: &Bytes,
-    ends_at: Instant,
-) -> Result<Opened, Refusal> {
+    deadline: Instant,
+) -> Result<PreparedRequest, Refusal> {
     let program = context.program.as_ref();
     let mut placement_key = placement_key(context);
     let budget = program.and_then(|program| Some((program, program.budget_tokens?)));
     let is_turn = route.repeat.is_stream() && (budget.is_some() || route.keeps_turns);
     if !is_turn {
-        let (turn, body, begins) = (None, body.clone(), false);
-        return Ok(Opened { turn, body, placement_key, begins });
+        let (turn, body, starts_program) = (None, body.clone(), false);
+        return Ok(PreparedRequest { turn, body, placement_key, starts_program });
     }
     let tokens_per_event =
         service.and_then(|spec| spec.engine.as_ref()).map_or(1, |engine| engine.tokens_per_event);
@@ -68,24 +68,24 @@
         reserved: None,
         tokens_per_event,
         delivered_events: 0,
-        kept: None,
+        pending: None,
     };
-    let (mut prompt, mut begins) = (body.clone(), false);
+    let (mut prompt, mut starts_program) = (body.clone(), false);
     if route.keeps_turns {
-        let work = read_history(node, context, team, body);
-        let (kept, whole) = within(ends_at, work).await?;
-        placement_key = kept.chain.first().unwrap_or(&context.id).clone();
-        prompt = whole;
-        turn.kept = Some(kept);
+        let operation = read_history(node, context, team, body);
+        let (pending, full_prompt) = with_store_timeout(deadline, operation).await?;
+        placement_key = pending.chain.first().unwrap_or(&context.id).clone();
+        prompt = full_prompt;
+        turn.pending = Some(pending);
     }
     if let Some((program, budget_tokens)) = budget {
-        let most = context.output_tokens_max;
-        let work = node.ledgers.reserve(&program.id, most, budget_tokens);
-        let work = async { work.await.map_err(|error| refuse_reservation(&error)) };
-        begins = within(ends_at, work).await?;
-        turn.reserved = Some((program.id.clone(), most));
+        let max_tokens = context.output_tokens_max;
+        let operation = node.ledgers.reserve(&program.id, max_tokens, budget_tokens);
+        let operation = async { operation.await.map_err(|error| reservation_refusal(&error)) };
+        starts_program = with_store_timeout(deadline, operation).await?;
+        turn.reserved = Some((program.id.clone(), max_tokens));
     }
-    Ok(Opened { turn: Some(turn), body: prompt, placement_key, begins })
+    Ok(PreparedRequest { turn: Some(turn), body: prompt, placement_key, starts_program })
 }
 
 /// Returns the key that requests with a common prompt share.
@@ -96,14 +96,14 @@
 }
 
 /// Part of the remaining time that the store may use before a request is refused.
-const STORE_SHARE: u32 = 2;
+const STORE_WAIT_DIVISOR: u32 = 2;
 
-async fn within<T>(
-    ends_at: Instant,
-    work: impl Future<Output = Result<T, Refusal>>,
+async fn with_store_timeout<T>(
+    deadline: Instant,
+    operation: impl Future<Output = Result<T, Refusal>>,
 ) -> Result<T, Refusal> {
-    let longest = ends_at.saturating_duration_since(Instant::now()) / STORE_SHARE;
-    tokio::time::timeout(longest, work).await.unwrap_or_else(|_| {
+    let timeout = deadline.saturating_duration_since(Instant::now()) / STORE_WAIT_DIVISOR;
+    tokio::time::timeout(timeout, operation).await.unwrap_or_else(|_| {
         let message = "the store did not answer in time; retry later";
         Err(Refusal::not_run(RefusalKind::PlatformUnavailable, message))
     })
@@ -114,14 +114,14 @@
     context: &RequestContext,
     team: &str,
     body: &Bytes,
-) -> Result<(KeptTurn, Bytes), Refusal> {
-    let mut kept = KeptTurn {
+) -> Result<(PendingRecord, Bytes), Refusal> {
+    let mut pending = PendingRecord {
         team: team.to_owned(),
         chain: Vec::new(),
         input: body.clone(),
         output: Vec::new(),
     };
-    let Some(previous) = &context.previous_turn else { return Ok((kept, body.clone())) };
+    let Some(previous) = &context.previous_turn else { return Ok((pending, body.clone())) };
     let chain = node.turns.chain(team, previous).await.map_err(|error| {
         let kind = match error {
             TurnError::Unknown { .. } => RefusalKind::TurnUnknown,
@@ -129,11 +129,11 @@
         };
         Refusal::not_run(kind, error.to_string())
     })?;
-    kept.chain = chain.iter().map(|(turn, _)| turn.clone()).collect();
-    Ok((kept, assemble(&chain, body).into()))
+    pending.chain = chain.iter().map(|(turn, _)| turn.clone()).collect();
+    Ok((pending, assemble(&chain, body).into()))
 }
 
-fn refuse_reservation(error: &ReserveError) -> Refusal {
+fn reservation_refusal(error: &ReserveError) -> Refusal {
     let kind = match error {
         ReserveError::BudgetSpent { .. } => RefusalKind::BudgetExhausted,
         ReserveError::Store { .. } | ReserveError::Contended => RefusalKind::PlatformUnavailable,
@@ -145,32 +145,32 @@
     /// Records an event that was handed to the caller.
     pub fn note_event(&mut self, data: &[u8]) {
         self.delivered_events += 1;
-        if let Some(kept) = &mut self.kept {
-            kept.output.extend_from_slice(data);
-            kept.output.push(b'\n');
+        if let Some(pending) = &mut self.pending {
+            pending.output.extend_from_slice(data);
+            pending.output.push(b'\n');
         }
     }
 
     /// Keeps a turn whose stream ended whole; returns whether its answer may end.
-    pub async fn keep(&mut self, ends_at: Instant) -> bool {
-        let Some(kept) = self.kept.take() else { return true };
+    pub async fn persist(&mut self, deadline: Instant) -> bool {
+        let Some(pending) = self.pending.take() else { return true };
         let record = TurnRecord {
-            team: kept.team,
-            chain: kept.chain,
-            input: TextBytes(kept.input.to_vec()),
-            output: TextBytes(kept.output),
+            team: pending.team,
+            chain: pending.chain,
+            input: TextBytes(pending.input.to_vec()),
+            output: TextBytes(pending.output),
         };
-        self.node.keep_turn(&self.request, Rc::new(record), ends_at).await
+        self.node.persist_turn(&self.request, Rc::new(record), deadline).await
     }
 }
 
 impl Drop for OpenTurn {
     fn drop(&mut self) {
-        let Some((program, most_tokens)) = self.reserved.take() else { return };
+        let Some((program, reserved_tokens)) = self.reserved.take() else { return };
         let node = Rc::clone(&self.node);
         let delivered_tokens = self.delivered_events * self.tokens_per_event;
         tokio::task::spawn_local(async move {
-            node.ledgers.settle(&program, most_tokens, delivered_tokens).await;
+            node.ledgers.settle(&program, reserved_tokens, delivered_tokens).await;
         });
     }
 }
