--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -177,7 +177,7 @@
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
     }
     let now = node.clock.monotonic_now();
-    node.ledgers.give_back_all(now.saturating_sub(STOP_RELEASE_WINDOW)).await;
+    node.ledgers.release_unused_since(now.saturating_sub(STOP_RELEASE_WINDOW)).await;
     peers.say_goodbye(node).await;
     log::info!(
         "event=stopped elapsed_ms={} connections={} requests={}",
