--- a/crates/coordination/src/config/check.rs
+++ b/crates/coordination/src/config/check.rs
@@ -90,13 +90,13 @@
 
     fn check_team(&mut self, name: &str, team: &Team) {
         if !self.set.limit.contains_key(&team.limit) {
-            let message = dangling("limit", &team.limit, self.set.limit.keys());
+            let message = missing_reference("limit", &team.limit, self.set.limit.keys());
             self.report(format!("team.{name}.limit"), message);
         }
         if let Some(budget) = &team.budget
             && !self.set.budget.contains_key(budget)
         {
-            let message = dangling("budget", budget, self.set.budget.keys());
+            let message = missing_reference("budget", budget, self.set.budget.keys());
             self.report(format!("team.{name}.budget"), message);
         }
         if team.weight == 0 {
@@ -119,7 +119,7 @@
 
     fn check_key(&mut self, name: &str, key: &Key) {
         if !self.set.team.contains_key(&key.team) {
-            let message = dangling("team", &key.team, self.set.team.keys());
+            let message = missing_reference("team", &key.team, self.set.team.keys());
             self.report(format!("key.{name}.team"), message);
         }
         let lower_hex = |byte: u8| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte);
@@ -150,7 +150,7 @@
         for served in &backend.serves {
             if !self.set.model.contains_key(served) && !self.set.service.contains_key(served) {
                 let known = self.set.model.keys().chain(self.set.service.keys());
-                let message = dangling("model or service", served, known);
+                let message = missing_reference("model or service", served, known);
                 self.report(format!("backend.{name}.serves"), message);
             }
         }
@@ -159,11 +159,11 @@
     fn check_route(&mut self, name: &str, route: &Route) {
         match (&route.model, &route.service) {
             (Some(model), None) if !self.set.model.contains_key(model) => {
-                let message = dangling("model", model, self.set.model.keys());
+                let message = missing_reference("model", model, self.set.model.keys());
                 self.report(format!("route.{name}.model"), message);
             }
             (None, Some(service)) if !self.set.service.contains_key(service) => {
-                let message = dangling("service", service, self.set.service.keys());
+                let message = missing_reference("service", service, self.set.service.keys());
                 self.report(format!("route.{name}.service"), message);
             }
             (Some(_), Some(_)) | (None, None) => {
@@ -173,7 +173,7 @@
         }
         for team in &route.teams {
             if !self.set.team.contains_key(team) {
-                let message = dangling("team", team, self.set.team.keys());
+                let message = missing_reference("team", team, self.set.team.keys());
                 self.report(format!("route.{name}.teams"), message);
             }
         }
@@ -191,7 +191,7 @@
     fn check_fallback(&mut self, name: &str, route: &Route, fallback: &str) {
         let field = format!("route.{name}.fallback");
         let Some(target) = self.set.route.get(fallback) else {
-            let message = dangling("route", fallback, self.set.route.keys());
+            let message = missing_reference("route", fallback, self.set.route.keys());
             return self.report(field, message);
         };
         if target.model.is_some() != route.model.is_some() || target.repeatable != route.repeatable
@@ -224,7 +224,11 @@
     }
 }
 
-fn dangling<'a>(kind: &str, name: &str, known: impl Iterator<Item = &'a String>) -> String {
+fn missing_reference<'a>(
+    kind: &str,
+    name: &str,
+    known: impl Iterator<Item = &'a String>,
+) -> String {
     const SUGGESTIONS: usize = 5;
     let known: Vec<&str> = known.take(SUGGESTIONS).map(String::as_str).collect();
     let hint = if known.is_empty() { "none is defined".to_owned() } else { known.join(", ") };
--- a/crates/coordination/src/config/files.rs
+++ b/crates/coordination/src/config/files.rs
@@ -66,7 +66,7 @@
                 let position = position(file, text, name.span().start);
                 let name = name.get_ref().as_ref();
                 let object = format!("{kind}.{name}");
-                self.note_fields(&object, fields.get_ref(), file, text);
+                self.record_field_positions(&object, fields.get_ref(), file, text);
                 let value = values.get(kind).and_then(|names| names.get(name)).cloned();
                 self.add_object(kind, name, value, parse, position);
             }
@@ -120,7 +120,13 @@
         }
     }
 
-    fn note_fields(&mut self, object: &str, fields: &DeValue<'_>, file: &str, text: &str) {
+    fn record_field_positions(
+        &mut self,
+        object: &str,
+        fields: &DeValue<'_>,
+        file: &str,
+        text: &str,
+    ) {
         let DeValue::Table(fields) = fields else {
             return;
         };
--- a/crates/coordination/src/config/publish.rs
+++ b/crates/coordination/src/config/publish.rs
@@ -87,7 +87,7 @@
         "version {version} by {author} came first; run `dandelionctl show`, merge your change and \
          publish again"
     ))]
-    Raced {
+    Conflict {
         /// Version in force.
         version: ConfigVersion,
         /// Who published it.
@@ -131,19 +131,19 @@
         if !problems.is_empty() {
             return Err(PublishError::Invalid { problems });
         }
-        let source_error = |source| PublishError::Platform { source };
+        let platform_error = |source| PublishError::Platform { source };
         let mut row = version_row(publication, current, now);
         loop {
             let (head_version, head) =
-                read_head(&*self.platform.table).await.map_err(source_error)?;
-            if let Some(earlier) = self.earlier_try(publication).await.map_err(source_error)? {
+                read_head(&*self.platform.table).await.map_err(platform_error)?;
+            if let Some(earlier) = self.find_duplicate(publication).await.map_err(platform_error)? {
                 return Ok(earlier);
             }
             if head.config_version != publication.base_version {
-                return Err(self.raced(&head).await);
+                return Err(self.conflict_error(&head).await);
             }
-            self.spill(&mut row, publication).await.map_err(source_error)?;
-            if self.commit(head_version, &head, &row).await.map_err(source_error)? {
+            self.store_large_values(&mut row, publication).await.map_err(platform_error)?;
+            if self.commit(head_version, &head, &row).await.map_err(platform_error)? {
                 info!(
                     "event=config_published version={} changes={}",
                     row.version, row.change_count
@@ -253,7 +253,10 @@
         Ok(Some((full_version, objects)))
     }
 
-    async fn earlier_try(&self, publication: &Publication) -> PlatformResult<Option<VersionRow>> {
+    async fn find_duplicate(
+        &self,
+        publication: &Publication,
+    ) -> PlatformResult<Option<VersionRow>> {
         let key = version_key(publication.base_version + 1);
         let Some(row) = self.platform.table.get(Table::Configs, &key).await? else {
             return Ok(None);
@@ -262,15 +265,19 @@
         Ok((row.publish_id == publication.publish_id).then_some(row))
     }
 
-    async fn raced(&self, head: &Head) -> PublishError {
+    async fn conflict_error(&self, head: &Head) -> PublishError {
         let author = match self.row(head.config_version).await {
             Ok(row) => row.author,
             Err(_) => "another operator".to_owned(),
         };
-        PublishError::Raced { version: head.config_version, author }
+        PublishError::Conflict { version: head.config_version, author }
     }
 
-    async fn spill(&self, row: &mut VersionRow, publication: &Publication) -> PlatformResult<()> {
+    async fn store_large_values(
+        &self,
+        row: &mut VersionRow,
+        publication: &Publication,
+    ) -> PlatformResult<()> {
         if let Body::Inline(payload) = &row.changes
             && payload.0.len() > INLINE_MAX_BYTES
         {
--- a/crates/coordination/src/detector.rs
+++ b/crates/coordination/src/detector.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Observers of each member.
-pub const OBSERVERS: usize = 3;
+pub const OBSERVERS_PER_MEMBER: usize = 3;
 /// Observers that must agree before a member is fenced.
 pub const OBSERVER_QUORUM: usize = 2;
 
@@ -21,7 +21,7 @@
         .filter(|member| member.state != MemberState::Fenced)
         .collect();
     ranked.sort_by_key(|member| std::cmp::Reverse(observer_weight(&member.id, &target.id)));
-    let mut chosen: Vec<&Member> = Vec::with_capacity(OBSERVERS);
+    let mut chosen: Vec<&Member> = Vec::with_capacity(OBSERVERS_PER_MEMBER);
     let mut others = Vec::new();
     for member in ranked {
         let new_zone = chosen.iter().all(|known| known.zone != member.zone);
@@ -32,7 +32,7 @@
         }
     }
     chosen.extend(others);
-    chosen.truncate(OBSERVERS);
+    chosen.truncate(OBSERVERS_PER_MEMBER);
     chosen
 }
 
@@ -59,34 +59,34 @@
 #[derive(Debug)]
 pub struct Detector {
     settings: DetectorSettings,
-    last_heard: HashMap<IncarnationId, Duration>,
-    last_tick: Duration,
+    last_heartbeats: HashMap<IncarnationId, Duration>,
+    last_update: Duration,
 }
 
 impl Detector {
     /// Creates a detector that has heard nobody.
     #[must_use]
     pub fn new(settings: DetectorSettings, now: Duration) -> Self {
-        Self { settings, last_heard: HashMap::new(), last_tick: now }
+        Self { settings, last_heartbeats: HashMap::new(), last_update: now }
     }
 
     /// Records a sign of life.
-    pub fn heard(&mut self, member: &str, now: Duration) {
-        self.last_heard.insert(member.to_owned(), now);
+    pub fn record_heartbeat(&mut self, member: &str, now: Duration) {
+        self.last_heartbeats.insert(member.to_owned(), now);
     }
 
     /// Sets whom this node observes; newly observed members count as just heard.
     ///
     /// A gap since the last call shows that this node itself was paused: its silence says nothing
     /// about the others, so everybody counts as just heard.
-    pub fn observe(&mut self, observed: &[IncarnationId], now: Duration) {
-        let paused = now.saturating_sub(self.last_tick) > self.settings.interval * 2;
-        self.last_tick = now;
-        self.last_heard.retain(|member, _| observed.contains(member));
+    pub fn set_observed(&mut self, observed: &[IncarnationId], now: Duration) {
+        let paused = now.saturating_sub(self.last_update) > self.settings.interval * 2;
+        self.last_update = now;
+        self.last_heartbeats.retain(|member, _| observed.contains(member));
         for member in observed {
-            let heard = self.last_heard.entry(member.clone()).or_insert(now);
+            let last = self.last_heartbeats.entry(member.clone()).or_insert(now);
             if paused {
-                *heard = now;
+                *last = now;
             }
         }
     }
@@ -94,15 +94,19 @@
     /// Returns whether `member` is observed and has been silent for too long.
     #[must_use]
     pub fn is_suspect(&self, member: &str, now: Duration) -> bool {
-        let silent = |heard: &Duration| now.saturating_sub(*heard) >= self.settings.suspect_after;
-        self.last_heard.get(member).is_some_and(silent)
+        let silent = |last: &Duration| now.saturating_sub(*last) >= self.settings.suspect_after;
+        self.last_heartbeats.get(member).is_some_and(silent)
     }
 
     /// Returns all members that have been silent for too long.
     #[must_use]
     pub fn suspects(&self, now: Duration) -> Vec<IncarnationId> {
-        let mut suspects: Vec<_> =
-            self.last_heard.keys().filter(|member| self.is_suspect(member, now)).cloned().collect();
+        let mut suspects: Vec<_> = self
+            .last_heartbeats
+            .keys()
+            .filter(|member| self.is_suspect(member, now))
+            .cloned()
+            .collect();
         suspects.sort();
         suspects
     }
--- a/crates/coordination/src/heartbeat.rs
+++ b/crates/coordination/src/heartbeat.rs
@@ -15,7 +15,7 @@
 use crate::peers::{Heartbeat, HeartbeatReply, Peers};
 
 /// Time for which a node that answers a heartbeat promises not to reclaim the sender's shares.
-pub const PROMISE: Duration = Duration::from_secs(3);
+pub const SHARE_LEASE: Duration = Duration::from_secs(3);
 
 /// Newest configuration seen at a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -54,13 +54,13 @@
     clock: Rc<dyn Clock>,
     detector: RefCell<Detector>,
     observation: RefCell<Option<Rc<Observation>>>,
-    promised_at: RefCell<HashMap<IncarnationId, Duration>>,
-    covered_until: Cell<Duration>,
+    lease_granted_at: RefCell<HashMap<IncarnationId, Duration>>,
+    share_lease_expiry: Cell<Duration>,
     sent: Cell<u64>,
 }
 
 impl Heartbeats {
-    /// Creates the exchange; nothing is sent before [`Heartbeats::beat`].
+    /// Creates the exchange; nothing is sent before [`Heartbeats::send_heartbeats`].
     #[must_use]
     pub fn new(peers: Rc<dyn Peers>, clock: Rc<dyn Clock>, settings: DetectorSettings) -> Self {
         let detector = Detector::new(settings, clock.monotonic());
@@ -69,21 +69,21 @@
             clock,
             detector: RefCell::new(detector),
             observation: RefCell::default(),
-            promised_at: RefCell::default(),
-            covered_until: Cell::default(),
+            lease_granted_at: RefCell::default(),
+            share_lease_expiry: Cell::default(),
             sent: Cell::default(),
         }
     }
 
     /// Returns the time until which this node may spend its limit shares.
     #[must_use]
-    pub fn covered_until(&self) -> Duration {
-        self.covered_until.get()
+    pub fn share_lease_expiry(&self) -> Duration {
+        self.share_lease_expiry.get()
     }
 
     /// Extends the time until which this node may spend its limit shares.
-    pub fn cover_until(&self, until: Duration) {
-        self.covered_until.set(self.covered_until.get().max(until));
+    pub fn extend_share_lease(&self, until: Duration) {
+        self.share_lease_expiry.set(self.share_lease_expiry.get().max(until));
     }
 
     /// Returns the number of heartbeats sent.
@@ -97,25 +97,25 @@
         &self,
         own: &Member,
         members: &[Member],
-        beat: &Heartbeat,
+        heartbeat: &Heartbeat,
         config_version: ConfigVersion,
     ) -> HeartbeatReply {
         let fenced = members
             .iter()
-            .any(|member| member.id == beat.from && member.state == MemberState::Fenced);
-        let promise = if fenced { Duration::ZERO } else { PROMISE };
+            .any(|member| member.id == heartbeat.from && member.state == MemberState::Fenced);
+        let lease = if fenced { Duration::ZERO } else { SHARE_LEASE };
         if !fenced {
             let now = self.clock.monotonic();
-            self.detector.borrow_mut().heard(&beat.from, now);
-            self.promised_at.borrow_mut().insert(beat.from.clone(), now);
+            self.detector.borrow_mut().record_heartbeat(&heartbeat.from, now);
+            self.lease_granted_at.borrow_mut().insert(heartbeat.from.clone(), now);
         }
-        HeartbeatReply { from: own.id.clone(), config_version, promise_ms: millis(promise) }
+        HeartbeatReply { from: own.id.clone(), config_version, promise_ms: millis(lease) }
     }
 
     /// Returns the time at which this node last promised not to reclaim the shares of `member`.
     #[must_use]
-    pub fn promised_at(&self, member: &str) -> Option<Duration> {
-        self.promised_at.borrow().get(member).copied()
+    pub fn lease_granted_at(&self, member: &str) -> Option<Duration> {
+        self.lease_granted_at.borrow().get(member).copied()
     }
 
     /// Returns whether this node suspects `member`.
@@ -125,29 +125,36 @@
     }
 
     /// Sends a heartbeat to each observer; returns the newest configuration heard of.
-    pub async fn beat(
+    pub async fn send_heartbeats(
         &self,
         own: &Member,
         members: &Rc<Vec<Member>>,
         config_version: ConfigVersion,
     ) -> Option<NewerConfig> {
-        let beat = Heartbeat { from: own.id.clone(), config_version };
+        let heartbeat = Heartbeat { from: own.id.clone(), config_version };
         let observation = self.observation(own, members);
-        let sends =
-            observation.own_observers.iter().map(|observer| self.send(own, observer, &beat));
+        let sends = observation
+            .own_observers
+            .iter()
+            .map(|observer| self.send_heartbeat(own, observer, &heartbeat));
         let replies = join_all(sends).await;
         let newer = replies.into_iter().flatten().filter(|newer| newer.version > config_version);
         newer.max_by_key(|newer| newer.version)
     }
 
-    async fn send(&self, own: &Member, observer: &Member, beat: &Heartbeat) -> Option<NewerConfig> {
+    async fn send_heartbeat(
+        &self,
+        own: &Member,
+        observer: &Member,
+        heartbeat: &Heartbeat,
+    ) -> Option<NewerConfig> {
         let sent_at = self.clock.monotonic();
         self.sent.set(self.sent.get() + 1);
-        match self.peers.heartbeat(&observer.peer_address, beat).await {
+        match self.peers.heartbeat(&observer.peer_address, heartbeat).await {
             Ok(reply) => {
                 if own.reclaimer.as_deref() == Some(&reply.from) {
                     // Counted from the sending, which is before the promise was made.
-                    self.cover_until(sent_at + Duration::from_millis(reply.promise_ms));
+                    self.extend_share_lease(sent_at + Duration::from_millis(reply.promise_ms));
                 }
                 let version = reply.config_version;
                 Some(NewerConfig { version, peer_address: observer.peer_address.clone() })
@@ -160,9 +167,9 @@
     }
 
     /// Updates whom this node observes.
-    pub fn observe(&self, own: &Member, members: &Rc<Vec<Member>>) {
+    pub fn update_observed(&self, own: &Member, members: &Rc<Vec<Member>>) {
         let observation = self.observation(own, members);
-        self.detector.borrow_mut().observe(&observation.observed, self.clock.monotonic());
+        self.detector.borrow_mut().set_observed(&observation.observed, self.clock.monotonic());
     }
 
     /// Returns who observes whom, computed once for each state of the membership.
@@ -193,8 +200,9 @@
         let observing = observers(members, target);
         let quorum = OBSERVER_QUORUM.min(observing.len());
         let others = observing.iter().filter(|member| member.id != own.id);
-        let asks = others.map(|other| self.peers.suspects(&other.peer_address, &target.id));
-        let agreeing = join_all(asks).await.into_iter().filter(|ask| matches!(ask, Ok(true)));
+        let requests = others.map(|other| self.peers.suspects(&other.peer_address, &target.id));
+        let agreeing =
+            join_all(requests).await.into_iter().filter(|reply| matches!(reply, Ok(true)));
         1 + agreeing.count() >= quorum
     }
 }
--- a/crates/coordination/src/limits/escrow.rs
+++ b/crates/coordination/src/limits/escrow.rs
@@ -233,7 +233,7 @@
         let Some(bucket) = buckets.get_mut(team) else { return TakeReply::NotHolder };
         let limits = share_limits(limit, parts);
         let now = self.clock.monotonic();
-        match bucket.take(limits, now, self.heartbeats.covered_until()) {
+        match bucket.take(limits, now, self.heartbeats.share_lease_expiry()) {
             Ok(()) => {
                 let tokens = bucket.tokens();
                 debug!("event=limit_token_taken team={team} parts={parts} tokens_left={tokens:.3}");
--- a/crates/coordination/src/limits/reclaim.rs
+++ b/crates/coordination/src/limits/reclaim.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use crate::heartbeat::{Heartbeats, PROMISE};
+use crate::heartbeat::{Heartbeats, SHARE_LEASE};
 use crate::ids::IncarnationId;
 use crate::members::{Member, MemberState};
 
@@ -42,7 +42,13 @@
         let fenced = members.iter().filter(|member| member.state == MemberState::Fenced);
         let open = fenced.filter(|member| !self.reclaimed.borrow().contains(&member.id));
         let due = open.filter(|member| {
-            self.is_reclaimable(own_id, member, members, heartbeats.promised_at(&member.id), now)
+            self.is_reclaimable(
+                own_id,
+                member,
+                members,
+                heartbeats.lease_granted_at(&member.id),
+                now,
+            )
         });
         due.map(|member| member.id.clone()).collect()
     }
@@ -71,16 +77,16 @@
         own_id: &str,
         member: &Member,
         members: &[Member],
-        promised_at: Option<Duration>,
+        lease_granted_at: Option<Duration>,
         now: Duration,
     ) -> bool {
-        let over = |since: Duration| now >= since + PROMISE + DRIFT_MARGIN;
+        let over = |since: Duration| now >= since + SHARE_LEASE + DRIFT_MARGIN;
         let gone = |id: &str| self.since.borrow().get(id).copied();
         if !gone(&member.id).is_some_and(over) {
             return false;
         }
         match member.reclaimer.as_deref() {
-            Some(reclaimer) if reclaimer == own_id => promised_at.is_none_or(over),
+            Some(reclaimer) if reclaimer == own_id => lease_granted_at.is_none_or(over),
             Some(reclaimer) => gone(reclaimer).is_some_and(over) && is_first_live(own_id, members),
             None => is_first_live(own_id, members),
         }
--- a/crates/coordination/src/members.rs
+++ b/crates/coordination/src/members.rs
@@ -86,7 +86,7 @@
 impl ShardRow {
     /// Returns whether nothing was committed since the checkpoint, if `next` is the next commit.
     #[must_use]
-    pub fn starts_at(&self, next: CommitNumber) -> bool {
+    pub fn is_checkpointed_at(&self, next: CommitNumber) -> bool {
         matches!(&self.segments[..], [segment] if segment.first_commit == next)
     }
 }
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -59,7 +59,7 @@
 
     /// Returns this node as last written to the table.
     #[must_use]
-    pub fn own(&self) -> Member {
+    pub fn own_member(&self) -> Member {
         self.identity.borrow().clone()
     }
 
@@ -88,7 +88,7 @@
     ///
     /// Fails when the platform cannot be reached; calling again is safe.
     pub async fn register(&self) -> PlatformResult<()> {
-        let identity = self.own();
+        let identity = self.own_member();
         while !self.write_member(&identity, self.incarnation.row_version(), None).await? {
             if let Some(row) = self.table.get(Table::Nodes, &identity.id).await? {
                 self.incarnation.set_row_version(row.version);
@@ -154,8 +154,8 @@
     /// # Errors
     ///
     /// Fails when the platform cannot be reached; calling again is safe.
-    pub async fn name_reclaimer(&self) -> PlatformResult<()> {
-        let own = self.own();
+    pub async fn assign_reclaimer(&self) -> PlatformResult<()> {
+        let own = self.own_member();
         let members = self.members();
         let candidates = observers(&members, &own);
         let live = |id: &str| {
@@ -169,9 +169,9 @@
         if reclaimer == own.reclaimer || own.state != MemberState::Live {
             return Ok(());
         }
-        let renamed = Member { reclaimer, ..own };
-        if self.write_member(&renamed, self.incarnation.row_version(), None).await? {
-            *self.identity.borrow_mut() = renamed;
+        let updated = Member { reclaimer, ..own };
+        if self.write_member(&updated, self.incarnation.row_version(), None).await? {
+            *self.identity.borrow_mut() = updated;
         }
         Ok(())
     }
@@ -182,7 +182,7 @@
     ///
     /// Fails when the platform cannot be reached; calling again is safe.
     pub async fn announce_leaving(&self) -> PlatformResult<()> {
-        let leaving = Member { state: MemberState::Leaving, ..self.own() };
+        let leaving = Member { state: MemberState::Leaving, ..self.own_member() };
         *self.identity.borrow_mut() = leaving.clone();
         while !self.write_member(&leaving, self.incarnation.row_version(), None).await? {
             self.read_members().await?;
@@ -225,13 +225,13 @@
             row_versions.insert(row.key, row.version);
             members.push(member);
         }
-        self.note_own(&members, &row_versions);
+        self.update_own_member(&members, &row_versions);
         *self.members.borrow_mut() = Rc::new(members);
         *self.row_versions.borrow_mut() = row_versions;
         Ok(())
     }
 
-    fn note_own(&self, members: &[Member], row_versions: &HashMap<IncarnationId, u64>) {
+    fn update_own_member(&self, members: &[Member], row_versions: &HashMap<IncarnationId, u64>) {
         let own_id = self.incarnation.id();
         let own = members.iter().find(|member| member.id == own_id);
         match (own, row_versions.get(own_id)) {
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -12,7 +12,7 @@
 use crate::clock::{Clock, millis};
 use crate::config::ConfigSnapshot;
 use crate::detector::DetectorSettings;
-use crate::heartbeat::{Heartbeats, NewerConfig, PROMISE};
+use crate::heartbeat::{Heartbeats, NewerConfig, SHARE_LEASE};
 use crate::ids::{ConfigVersion, IncarnationId, ProgramHome};
 use crate::incarnation::Incarnation;
 use crate::journal::{Journal, JournalSettings, unix_ms};
@@ -83,7 +83,7 @@
     fn current(&self) -> Arc<ConfigSnapshot>;
 
     /// Learns that a peer has a newer version.
-    fn newer_at_peer(&self, newer: NewerConfig);
+    fn on_newer_version(&self, newer: NewerConfig);
 }
 
 /// One node of the fleet.
@@ -96,10 +96,10 @@
     journal: Rc<Journal>,
     owner: Rc<Owner>,
     shards: Shards,
-    escrow: Escrow,
-    settled: Cell<bool>,
+    limits: Escrow,
+    shards_reconciled: Cell<bool>,
     prepared_version: Cell<ConfigVersion>,
-    nudge: Notify,
+    poll_requested: Notify,
 }
 
 impl Node {
@@ -136,7 +136,7 @@
             Rc::clone(&clock),
             settings.detector.clone(),
         ));
-        let escrow = Escrow::new(
+        let limits = Escrow::new(
             Rc::clone(&table),
             Rc::clone(&clock),
             peers,
@@ -155,10 +155,10 @@
             journal,
             owner,
             shards,
-            escrow,
-            settled: Cell::new(false),
+            limits,
+            shards_reconciled: Cell::new(false),
             prepared_version: Cell::new(0),
-            nudge: Notify::new(),
+            poll_requested: Notify::new(),
         })
     }
 
@@ -194,21 +194,25 @@
 
     /// Returns the team limits.
     #[must_use]
-    pub fn escrow(&self) -> &Escrow {
-        &self.escrow
+    pub fn limits(&self) -> &Escrow {
+        &self.limits
     }
 
     /// Returns whether the node's shards are settled and the limits of `version` are prepared.
     #[must_use]
     pub fn is_settled(&self, version: ConfigVersion) -> bool {
-        self.settled.get() && self.prepared_version.get() == version
+        self.shards_reconciled.get() && self.prepared_version.get() == version
     }
 
     /// Answers a heartbeat of another member.
     #[must_use]
-    pub fn answer_heartbeat(&self, beat: &Heartbeat, version: ConfigVersion) -> HeartbeatReply {
+    pub fn answer_heartbeat(
+        &self,
+        heartbeat: &Heartbeat,
+        version: ConfigVersion,
+    ) -> HeartbeatReply {
         let members = self.membership.members();
-        self.heartbeats.answer(&self.membership.own(), &members, beat, version)
+        self.heartbeats.answer(&self.membership.own_member(), &members, heartbeat, version)
     }
 
     /// Returns whether this node suspects `target`.
@@ -223,15 +227,16 @@
     /// knows where a shard is that is just moving.
     #[must_use]
     pub fn locate(&self, home: &ProgramHome) -> Location {
-        let is_own_region = home.region == self.membership.own().region;
+        let is_own_region = home.region == self.membership.own_member().region;
         if is_own_region && self.shards.is_serving(home.shard) {
             return Location::Local;
         }
         let members = self.membership.members();
-        let able = |id: IncarnationId| {
+        let not_fenced = |id: IncarnationId| {
             members.iter().find(|member| member.id == id && member.state != MemberState::Fenced)
         };
-        let recorded = self.shards.owner_of(home.shard).filter(|_| is_own_region).and_then(able);
+        let recorded =
+            self.shards.owner_of(home.shard).filter(|_| is_own_region).and_then(not_fenced);
         let preferred = || preferred_owner(members.iter(), &home.region, home.shard);
         match recorded.or_else(preferred) {
             Some(member) if member.id != self.incarnation.id() => {
@@ -243,17 +248,20 @@
 
     /// Runs the node until it is fenced; it must be registered.
     pub async fn run(&self, config: &dyn ConfigWatcher) {
-        let work =
-            std::pin::pin!(join3(self.journal.run(), self.follow(config), self.keep_alive(config)));
+        let work = std::pin::pin!(join3(
+            self.journal.run(),
+            self.run_polling(config),
+            self.run_heartbeats(config)
+        ));
         let fenced = std::pin::pin!(self.incarnation.fenced());
         select(fenced, work).await;
         self.journal.fail_pending();
     }
 
     /// Asks for a poll of the head row without waiting for its interval.
-    pub fn nudge(&self) {
-        self.settled.set(false);
-        self.nudge.notify_one();
+    pub fn request_poll(&self) {
+        self.shards_reconciled.set(false);
+        self.poll_requested.notify_one();
     }
 
     /// Begins the planned stop: hands over limit shares and then shards.
@@ -263,16 +271,16 @@
     /// Fails when the platform cannot be reached; calling again is safe.
     pub async fn leave(&self) -> PlatformResult<()> {
         self.membership.announce_leaving().await?;
-        self.escrow.hand_over(&self.membership.members()).await?;
+        self.limits.hand_over(&self.membership.members()).await?;
         // Also without a successor, so that the last node of a fleet can stop.
         self.shards.drain_all();
-        self.nudge();
+        self.request_poll();
         Ok(())
     }
 
     /// Returns whether all shards were handed over.
     #[must_use]
-    pub fn is_released(&self) -> bool {
+    pub fn has_released_all_shards(&self) -> bool {
         self.shards.held_count() == 0
     }
 
@@ -286,63 +294,63 @@
     }
 
     /// Follows the head row and keeps membership and shards up to date.
-    async fn follow(&self, config: &dyn ConfigWatcher) {
+    async fn run_polling(&self, config: &dyn ConfigWatcher) {
         let mut checkpoint_at = self.clock.monotonic() + self.settings.checkpoint_interval;
         loop {
             if let Err(error) = self.poll(config).await {
                 debug!("event=poll_failed cause={error:?}");
             }
             if self.clock.monotonic() >= checkpoint_at {
-                self.housekeep().await;
+                self.run_maintenance().await;
                 checkpoint_at = self.clock.monotonic() + self.settings.checkpoint_interval;
             }
-            let nudged = std::pin::pin!(self.nudge.notified());
+            let requested = std::pin::pin!(self.poll_requested.notified());
             let pause = self.clock.sleep(self.settings.head_poll_interval);
-            if let Either::Left(_) = select(nudged, pause).await {
+            if let Either::Left(_) = select(requested, pause).await {
                 debug!("event=poll_nudged");
             }
         }
     }
 
     async fn poll(&self, config: &dyn ConfigWatcher) -> PlatformResult<()> {
-        let begun = self.clock.monotonic();
+        let started_at = self.clock.monotonic();
         let changed = self.membership.poll().await?;
         if self.incarnation.is_fenced() {
             return Ok(());
         }
-        self.heartbeats.cover_until(begun + PROMISE);
+        self.heartbeats.extend_share_lease(started_at + SHARE_LEASE);
         if changed {
-            self.journal.set_pace(self.journal_pace());
-            self.settled.set(false);
-            self.membership.name_reclaimer().await?;
+            self.journal.set_pace(self.commit_interval());
+            self.shards_reconciled.set(false);
+            self.membership.assign_reclaimer().await?;
         }
-        if !self.settled.get() {
-            let settled = self.reconcile().await?;
-            self.settled.set(settled);
+        if !self.shards_reconciled.get() {
+            let reconciled = self.reconcile().await?;
+            self.shards_reconciled.set(reconciled);
         }
         let members = self.membership.members();
         let config = config.current();
         let prepared = !changed && self.prepared_version.get() == config.version();
-        if !prepared && self.escrow.prepare(&config, &members).await? {
+        if !prepared && self.limits.prepare(&config, &members).await? {
             self.prepared_version.set(config.version());
         }
-        self.escrow.reclaim(&members).await
+        self.limits.reclaim(&members).await
     }
 
     /// Returns the time between commits that keeps the region within its platform writes.
-    fn journal_pace(&self) -> Duration {
-        let region = self.membership.own().region;
+    fn commit_interval(&self) -> Duration {
+        let region = self.membership.own_member().region;
         let members = self.membership.members();
-        let able =
+        let not_fenced =
             |member: &&Member| member.region == region && member.state != MemberState::Fenced;
-        let count = members.iter().filter(able).count();
+        let count = members.iter().filter(not_fenced).count();
         let nodes = u32::try_from(count).unwrap_or(u32::MAX);
         Duration::from_secs(1) * nodes / self.settings.region_writes_per_s.max(1)
     }
 
     async fn reconcile(&self) -> PlatformResult<bool> {
         let members = self.membership.members();
-        let region = self.membership.own().region;
+        let region = self.membership.own_member().region;
         let assignment =
             |shard| preferred_owner(members.iter(), &region, shard).map(|member| member.id.clone());
         let is_free = |incarnation: &str| {
@@ -355,17 +363,17 @@
     }
 
     /// Sends heartbeats and fences members that enough observers have found silent.
-    async fn keep_alive(&self, config: &dyn ConfigWatcher) {
+    async fn run_heartbeats(&self, config: &dyn ConfigWatcher) {
         loop {
-            let (own, members) = (self.membership.own(), self.membership.members());
+            let (own, members) = (self.membership.own_member(), self.membership.members());
             let version = config.current().version();
-            self.heartbeats.observe(&own, &members);
-            if let Some(newer) = self.heartbeats.beat(&own, &members, version).await {
-                config.newer_at_peer(newer);
+            self.heartbeats.update_observed(&own, &members);
+            if let Some(newer) = self.heartbeats.send_heartbeats(&own, &members, version).await {
+                config.on_newer_version(newer);
             }
             for suspect in self.heartbeats.confirmed_suspects(&own, &members).await {
                 match self.membership.fence(&suspect).await {
-                    Ok(_) => self.nudge(),
+                    Ok(_) => self.request_poll(),
                     Err(error) => warn!("event=fencing_failed target={suspect} cause={error:?}"),
                 }
             }
@@ -373,7 +381,7 @@
         }
     }
 
-    async fn housekeep(&self) {
+    async fn run_maintenance(&self) {
         let retention_ms = millis(self.settings.retention);
         self.owner.expire(unix_ms(&*self.clock).saturating_sub(retention_ms));
         if let Err(error) = self.shards.checkpoint().await {
@@ -387,7 +395,7 @@
     /// Removes rows of members that were fenced long ago; one member does it for all.
     async fn remove_fenced(&self) -> PlatformResult<()> {
         let members = self.membership.members();
-        let gone = self.escrow.gone_for(FENCED_ROW_AGE, &members);
+        let gone = self.limits.gone_for(FENCED_ROW_AGE, &members);
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let first = live.map(|member| member.id.as_str()).min();
         if gone.is_empty() || first != Some(self.incarnation.id()) {
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -80,8 +80,11 @@
     /// # Errors
     ///
     /// Fails when the peer does not answer in time.
-    async fn heartbeat(&self, address: &str, beat: &Heartbeat)
-    -> Result<HeartbeatReply, PeerError>;
+    async fn heartbeat(
+        &self,
+        address: &str,
+        heartbeat: &Heartbeat,
+    ) -> Result<HeartbeatReply, PeerError>;
 
     /// Asks whether the peer suspects `target` too.
     ///
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -357,7 +357,7 @@
         let Some(owned) = self.owned.borrow().get(&shard).cloned() else {
             return Ok(());
         };
-        if owned.row.starts_at(first_commit) {
+        if owned.row.is_checkpointed_at(first_commit) {
             return Ok(());
         }
         let programs = self.owner.programs_of(shard);
--- a/crates/daemon/src/connection/peers.rs
+++ b/crates/daemon/src/connection/peers.rs
@@ -105,7 +105,7 @@
     async fn limit_moved(&self, team: TeamId, row_version: u64) -> RpcResult<()> {
         self.count();
         let learn = move |control: Rc<Control>| async move {
-            let _ = control.node().escrow().refresh(&team, row_version).await;
+            let _ = control.node().limits().refresh(&team, row_version).await;
         };
         self.control.run(learn).await.map_err(stopping)
     }
--- a/crates/daemon/src/operator/config.rs
+++ b/crates/daemon/src/operator/config.rs
@@ -169,7 +169,7 @@
                 objects,
             };
             match control.publish(&publication).await {
-                Err(PublishError::Raced { .. }) if tries < RACE_RETRIES => tries += 1,
+                Err(PublishError::Conflict { .. }) if tries < RACE_RETRIES => tries += 1,
                 result => return result.map_err(EditError::Publish),
             }
         }
@@ -201,7 +201,7 @@
             let body = ErrorBody { error: message, problems };
             HttpResponse::UnprocessableEntity().json(&body)
         }
-        PublishError::Raced { .. } => failed(StatusCode::CONFLICT, message),
+        PublishError::Conflict { .. } => failed(StatusCode::CONFLICT, message),
         PublishError::Platform { .. } => failed(StatusCode::SERVICE_UNAVAILABLE, message),
     }
 }
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -164,7 +164,7 @@
         let config = self.follower.current();
         let Some(limit) = config.team_limit(team) else { return Ok(()) };
         let node = self.node();
-        node.escrow().acquire(team, limit, &node.membership().members()).await
+        node.limits().acquire(team, limit, &node.membership().members()).await
     }
 
     /// Takes one token of `team` from this node's share, for another node.
@@ -172,7 +172,7 @@
         let config = self.follower.current();
         let Some(limit) = config.team_limit(team) else { return TakeReply::NotHolder };
         let node = self.node();
-        node.escrow().take_own(team, row_version, limit, &node.membership().members()).await
+        node.limits().take_own(team, row_version, limit, &node.membership().members()).await
     }
 
     /// Records the end of an attempt; an attempt of an earlier incarnation records nothing.
--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -145,7 +145,8 @@
     }
 
     async fn is_released(&self) -> bool {
-        let released = |control: Rc<Control>| async move { control.node().is_released() };
+        let released =
+            |control: Rc<Control>| async move { control.node().has_released_all_shards() };
         self.shared.control.run(released).await.unwrap_or(true)
     }
 
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -234,7 +234,7 @@
         Self::current(self)
     }
 
-    fn newer_at_peer(&self, newer: NewerConfig) {
+    fn on_newer_version(&self, newer: NewerConfig) {
         *self.newer_peer.borrow_mut() = Some(newer);
         self.peer_has_newer.notify_one();
     }
