--- a/crates/daemon/src/front/connection/backend.rs
+++ b/crates/daemon/src/front/connection/backend.rs
@@ -23,7 +23,7 @@
 /// Longest wait for a new connection; the ways take a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Silence of a peer with data under way after which its connection is dead.
-const USER_TIMEOUT_MS: u32 = 2_000;
+const TCP_USER_TIMEOUT_MS: u32 = 2_000;
 /// Idle time after which a connection is closed, unless the peer named a shorter one.
 const IDLE_MAX: Duration = Duration::from_secs(4);
 /// Part of the peer's own idle time that is left unused, so that requests do not cross its close.
@@ -68,7 +68,7 @@
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        sockopt::set_tcp_user_timeout(&stream, USER_TIMEOUT_MS)?;
+        sockopt::set_tcp_user_timeout(&stream, TCP_USER_TIMEOUT_MS)?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(READ_BUFFER_MAX_BYTES)
             .handshake(TokioIo::new(stream))
@@ -91,20 +91,20 @@
             Ok(response) => SendOutcome::Answered(response),
             Err(mut error) => {
                 let is_unsent = error.take_message().is_some();
-                let cause = describe(error.error());
+                let cause = error_with_source(error.error());
                 if is_unsent { SendOutcome::NotSent(cause) } else { SendOutcome::Lost(cause) }
             }
         }
     }
 
     /// Takes over the idle time that an answer names, in whole seconds.
-    pub fn note_keep_alive(&mut self, seconds: u64) {
+    pub fn set_keep_alive(&mut self, seconds: u64) {
         self.idle_max = IDLE_MAX.min(Duration::from_secs(seconds)).saturating_sub(IDLE_MARGIN);
     }
 }
 
 /// Returns an error with its cause.
-fn describe(error: &hyper::Error) -> String {
+fn error_with_source(error: &hyper::Error) -> String {
     use std::error::Error as _;
     match error.source() {
         Some(source) => format!("{error}: {source}"),
@@ -113,7 +113,7 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: BackendConnection,
     since: Instant,
 }
@@ -121,7 +121,7 @@
 /// Idle connections by address.
 #[derive(Debug, Default)]
 pub struct BackendPool {
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl BackendPool {
@@ -129,7 +129,7 @@
     pub fn take(&self, address: SocketAddr, idle_max: Duration) -> Option<BackendConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
-        while let Some(Idle { connection, since }) = connections.pop() {
+        while let Some(IdleConnection { connection, since }) = connections.pop() {
             let age = since.elapsed();
             if age > connection.idle_max.min(idle_max) {
                 // Those below are older still.
@@ -151,7 +151,7 @@
             return;
         }
         connection.is_reused = true;
-        let idle = Idle { connection, since: Instant::now() };
+        let idle = IdleConnection { connection, since: Instant::now() };
         self.idle.borrow_mut().entry(address).or_default().push(idle);
     }
 
--- a/crates/daemon/src/front/connection/caller.rs
+++ b/crates/daemon/src/front/connection/caller.rs
@@ -91,7 +91,7 @@
     node.metrics.count_refusal(refusal.kind);
     log::info!("event=refused kind={} message=\"{refusal}\"", refusal.kind.label());
     let mut responder = Responder::new(io, codec);
-    responder.close_after();
+    responder.close_after_answer();
     responder.refuse("", refusal).await
 }
 
@@ -107,11 +107,11 @@
     let _busy = node.caller_requests.enter();
     let body_max_bytes = node.table().limits().body_max_bytes;
     match payload {
-        PayloadType::None => serve_whole(node, io, codec, head, Bytes::new(), arrived_at).await,
+        PayloadType::None => serve_buffered(node, io, codec, head, Bytes::new(), arrived_at).await,
         PayloadType::Payload(decoder) | PayloadType::Stream(decoder) => {
             let body = read_body(io, &decoder, &head, body_max_bytes).await;
             let refusal = match body {
-                Ok(body) => return serve_whole(node, io, codec, head, body, arrived_at).await,
+                Ok(body) => return serve_buffered(node, io, codec, head, body, arrived_at).await,
                 Err(BodyError::Connection(error)) => return Err(error),
                 Err(BodyError::TooLong) => Refusal::not_run(
                     RefusalKind::BodyTooLarge,
@@ -148,7 +148,7 @@
 }
 
 /// Serves a request that was read whole; returns whether the connection may be used again.
-async fn serve_whole(
+async fn serve_buffered(
     node: &Rc<FrontNode>,
     io: &Io,
     codec: &Codec,
@@ -158,13 +158,13 @@
 ) -> io::Result<bool> {
     let request = CallerRequest { head, body, arrived_at };
     let mut responder = Responder::new(io, codec);
-    if node.stop.is_stopping() || node.reach.is_cut_off() {
-        responder.close_after();
+    if node.stop.is_stopping() || node.reach.is_isolated() {
+        responder.close_after_answer();
     }
     let is_answered = tokio::select! {
         biased;
         result = request::serve(node, &request, &mut responder) => result.is_ok(),
-        () = peer_gone(io) => {
+        () = caller_disconnected(io) => {
             node.metrics.callers_gone.inc();
             return Ok(false);
         }
@@ -178,7 +178,7 @@
 }
 
 /// Completes when the caller closed the connection.
-async fn peer_gone(io: &Io) {
+async fn caller_disconnected(io: &Io) {
     poll_fn(|cx| match io.poll_status_update(cx) {
         Poll::Ready(IoStatusUpdate::PeerGone(_)) => Poll::Ready(()),
         Poll::Ready(_) | Poll::Pending => Poll::Pending,
--- a/crates/daemon/src/front/connection/listener.rs
+++ b/crates/daemon/src/front/connection/listener.rs
@@ -15,10 +15,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Pause after a failed accept, which is mostly a lack of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Longest time for which the rest of a refused body is read, about one round trip of a slow link.
-const DISCARD_MAX: Duration = Duration::from_millis(500);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Accepts connections until the process ends, each served by a task of its own.
 pub async fn accept<S, F>(name: &'static str, listener: TcpListener, serve: S)
@@ -38,7 +38,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed listener={name} cause=\"{error}\"");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -99,7 +99,7 @@
 pub async fn discard_rest(io: &Io, decoder: &PayloadDecoder) {
     let rest = async { while let Ok(Some(PayloadItem::Chunk(_))) = io.recv(decoder).await {} };
     // A caller that goes on sending beyond that gets the reset.
-    let _ = tokio::time::timeout(DISCARD_MAX, rest).await;
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, rest).await;
 }
 
 /// Sends a whole answer.
@@ -107,7 +107,7 @@
 /// # Errors
 ///
 /// Fails when the connection is gone.
-pub async fn send_whole(
+pub async fn send_answer(
     io: &Io,
     codec: &Codec,
     status: StatusCode,
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -26,11 +26,11 @@
 /// Table in which nodes list their addresses.
 const NODES_TABLE: &str = "nodes";
 /// Time between two reads of the list, for nodes that were cut off when others started.
-const LIST_INTERVAL: Duration = Duration::from_secs(15);
+const MEMBERSHIP_INTERVAL: Duration = Duration::from_secs(15);
 /// Time after the first listing in which the others' reports arrive; callers come afterwards.
-const FIRST_REPORTS_WAIT: Duration = Duration::from_millis(250);
+const INITIAL_REPORTS_WAIT: Duration = Duration::from_millis(250);
 /// Pause after a failed read or write of the list.
-const LIST_RETRY_PAUSE: Duration = Duration::from_millis(400);
+const MEMBERSHIP_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// What a node sends to another.
 #[derive(Debug, Serialize, Deserialize)]
@@ -103,7 +103,7 @@
             match postcard::from_bytes::<Message>(&buffer[..length]) {
                 Ok(Message::Report(report)) => {
                     self.incarnations.borrow_mut().insert(sender, report.incarnation);
-                    accept(node, sender, report);
+                    apply_report(node, sender, report);
                 }
                 Ok(Message::GiveBack { program }) => {
                     log::info!("event=claim_asked program={program} by={sender}");
@@ -118,20 +118,20 @@
     }
 
     /// Sends reports until the process ends.
-    pub async fn report(&self, node: &FrontNode) {
+    pub async fn send_reports(&self, node: &FrontNode) {
         loop {
-            let members = self.send(node, false).await;
+            let members = self.send_report(node, false).await;
             tokio::time::sleep(report_interval(members)).await;
         }
     }
 
     /// Tells the other nodes that this one leaves.
-    pub async fn say_goodbye(&self, node: &FrontNode) {
-        self.send(node, true).await;
+    pub async fn announce_leaving(&self, node: &FrontNode) {
+        self.send_report(node, true).await;
     }
 
     /// Sends one report to every member; returns their number.
-    async fn send(&self, node: &FrontNode, is_leaving: bool) -> usize {
+    async fn send_report(&self, node: &FrontNode, is_leaving: bool) -> usize {
         let now = node.clock.monotonic_now();
         let members: Vec<SocketAddr> = {
             let limiter = node.limiter.borrow();
@@ -148,7 +148,7 @@
             in_flight: node.placement.borrow().own_load(),
             avoided: node.placement.borrow().own_distrust(now),
             is_leaving,
-            has_store: !node.reach.is_lost() && node.table().version() > 0,
+            has_store: !node.reach.is_unreachable() && node.table().version() > 0,
         };
         match postcard::to_allocvec(&Message::Report(report)) {
             Ok(bytes) => {
@@ -164,27 +164,27 @@
     }
 
     /// Lists this node and learns of the others until the process ends.
-    pub async fn keep_listed(&self, node: &FrontNode) {
+    pub async fn maintain_membership(&self, node: &FrontNode) {
         loop {
-            match self.list(node).await {
+            match self.refresh_membership(node).await {
                 Ok(()) => {
-                    tokio::time::sleep(FIRST_REPORTS_WAIT).await;
+                    tokio::time::sleep(INITIAL_REPORTS_WAIT).await;
                     node.note_members_known();
-                    tokio::time::sleep(LIST_INTERVAL).await;
+                    tokio::time::sleep(MEMBERSHIP_INTERVAL).await;
                 }
                 Err(error) => {
                     log::info!("event=listing_failed cause=\"{error}\"");
-                    tokio::time::sleep(LIST_RETRY_PAUSE).await;
+                    tokio::time::sleep(MEMBERSHIP_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn list(&self, node: &FrontNode) -> Result<(), RowStoreError> {
+    async fn refresh_membership(&self, node: &FrontNode) -> Result<(), RowStoreError> {
         let own = self.address.to_string();
         let (mut rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         if !rows.iter().any(|row| row.key == own) {
-            self.write(node, &own, 0, Some(node.settings.zone.as_bytes())).await?;
+            self.write_row(node, &own, 0, Some(node.settings.zone.as_bytes())).await?;
             // Of two nodes that start together, at least the one that wrote last finds the other.
             (rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         }
@@ -193,7 +193,7 @@
         for row in rows.iter().filter(|row| row.key != own) {
             if forgotten.contains(&row.key) {
                 log::info!("event=member_forgotten member={}", row.key);
-                self.write(node, &row.key, row.version, None).await?;
+                self.write_row(node, &row.key, row.version, None).await?;
             } else {
                 node.limiter.borrow_mut().note_listed(&row.key);
             }
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    async fn write(
+    async fn write_row(
         &self,
         node: &FrontNode,
         key: &str,
@@ -242,13 +242,13 @@
     format!("{incarnation:016x}")
 }
 
-fn accept(node: &FrontNode, sender: SocketAddr, report: Report) {
+fn apply_report(node: &FrontNode, sender: SocketAddr, report: Report) {
     let member = sender.to_string();
     let now = node.clock.monotonic_now();
     if report.is_leaving {
         log::info!("event=member_left member={member}");
         node.limiter.borrow_mut().forget(&member);
-        node.reach.note_helper(sender, false, Duration::ZERO);
+        node.reach.update_relay(sender, false, Duration::ZERO);
         node.placement.borrow_mut().forget_peer(&member);
         return;
     }
@@ -258,7 +258,7 @@
         limiter.note_report(&member, report.incarnation, admitted, now);
         limiter.members(now).count()
     };
-    node.reach.note_helper(sender, report.has_store, silent_after(members));
+    node.reach.update_relay(sender, report.has_store, silent_after(members));
     let mut placement = node.placement.borrow_mut();
     placement.set_peer_load(&member, report.in_flight);
     placement.set_peer_distrust(&member, report.avoided);
--- a/crates/daemon/src/front/connection/reach.rs
+++ b/crates/daemon/src/front/connection/reach.rs
@@ -15,97 +15,99 @@
 use http::Method;
 use rand::seq::IteratorRandom as _;
 
-use super::relay_server::LOST_STATUS;
+use super::relay_server::ANSWER_LOST_STATUS;
 use super::store::HttpTransport;
 use crate::front::process::{FrontClock, FrontMetrics};
 
 /// Time without an answer after which the store counts as lost; a few failed calls.
-const LOST_AFTER: Duration = Duration::from_millis(500);
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(500);
 /// Direct calls in a row without an answer after which others are made through another node: a
 /// single one may be turned away because all nodes together call too often.
-const HELP_AFTER_FAILURES: u32 = 3;
+const FAILOVER_AFTER_FAILURES: u32 = 3;
 /// Time between two direct calls while the store is lost.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What a node knows of the ways to the store.
-pub struct StoreReach {
+pub struct StoreReachability {
     clock: FrontClock,
     /// Time since which the store does not answer this node directly.
-    lost_at: Cell<Option<Duration>>,
-    failures_in_row: Cell<u32>,
+    failing_since: Cell<Option<Duration>>,
+    consecutive_failures: Cell<u32>,
     probed_at: Cell<Duration>,
     /// State in the last log line.
-    is_logged_lost: Cell<bool>,
+    is_logged_unreachable: Cell<bool>,
     /// Nodes that reach the store, with the times up to which their reports count.
-    helpers: RefCell<HashMap<SocketAddr, Duration>>,
+    relays: RefCell<HashMap<SocketAddr, Duration>>,
 }
 
-impl StoreReach {
+impl StoreReachability {
     /// Creates a state in which the store counts as reached.
     #[must_use]
     pub fn new(clock: FrontClock) -> Self {
         Self {
             clock,
-            lost_at: Cell::new(None),
-            failures_in_row: Cell::new(0),
+            failing_since: Cell::new(None),
+            consecutive_failures: Cell::new(0),
             probed_at: Cell::new(Duration::ZERO),
-            is_logged_lost: Cell::new(false),
-            helpers: RefCell::default(),
+            is_logged_unreachable: Cell::new(false),
+            relays: RefCell::default(),
         }
     }
 
     /// Returns whether the store has not answered this node directly for a while.
     #[must_use]
-    pub fn is_lost(&self) -> bool {
+    pub fn is_unreachable(&self) -> bool {
         let now = self.clock.monotonic_now();
-        self.lost_at.get().is_some_and(|lost_at| now >= lost_at + LOST_AFTER)
+        self.failing_since
+            .get()
+            .is_some_and(|failing_since| now >= failing_since + UNREACHABLE_AFTER)
     }
 
     /// Returns whether other nodes reach the store and this one does not: callers are then better
     /// served there.
     #[must_use]
-    pub fn is_cut_off(&self) -> bool {
-        self.is_lost() && self.helper().is_some()
+    pub fn is_isolated(&self) -> bool {
+        self.is_unreachable() && self.relay().is_some()
     }
 
     /// Records whether another node reaches the store; its report counts for `valid_for`.
-    pub fn note_helper(&self, member: SocketAddr, has_store: bool, valid_for: Duration) {
-        let mut helpers = self.helpers.borrow_mut();
+    pub fn update_relay(&self, member: SocketAddr, has_store: bool, valid_for: Duration) {
+        let mut relays = self.relays.borrow_mut();
         if has_store {
-            helpers.insert(member, self.clock.monotonic_now() + valid_for);
+            relays.insert(member, self.clock.monotonic_now() + valid_for);
         } else {
-            helpers.remove(&member);
+            relays.remove(&member);
         }
     }
 
     /// Records whether the store answered a direct call.
-    fn note_direct(&self, is_answered: bool) {
+    fn record_direct_call(&self, is_answered: bool) {
         if is_answered {
-            self.lost_at.set(None);
-            self.failures_in_row.set(0);
+            self.failing_since.set(None);
+            self.consecutive_failures.set(0);
         } else {
-            self.failures_in_row.set(self.failures_in_row.get().saturating_add(1));
-            if self.lost_at.get().is_none() {
-                self.lost_at.set(Some(self.clock.monotonic_now()));
+            self.consecutive_failures.set(self.consecutive_failures.get().saturating_add(1));
+            if self.failing_since.get().is_none() {
+                self.failing_since.set(Some(self.clock.monotonic_now()));
             }
         }
-        let is_lost = self.is_lost();
-        if self.is_logged_lost.replace(is_lost) != is_lost {
-            let helper = self.helper().map_or("-".to_owned(), |helper| helper.to_string());
-            log::warn!("event=store_reach is_lost={is_lost} helper={helper}");
+        let is_unreachable = self.is_unreachable();
+        if self.is_logged_unreachable.replace(is_unreachable) != is_unreachable {
+            let relay = self.relay().map_or("-".to_owned(), |relay| relay.to_string());
+            log::warn!("event=store_reach is_lost={is_unreachable} helper={relay}");
         }
     }
 
     /// Returns whether a call that failed directly should be made through another node.
-    fn needs_help(&self) -> bool {
-        self.failures_in_row.get() >= HELP_AFTER_FAILURES
+    fn should_fail_over(&self) -> bool {
+        self.consecutive_failures.get() >= FAILOVER_AFTER_FAILURES
     }
 
     /// Returns whether the next call goes directly.
-    fn tries_direct(&self) -> bool {
+    fn should_try_direct(&self) -> bool {
         let now = self.clock.monotonic_now();
         let is_due = now >= self.probed_at.get() + PROBE_INTERVAL;
-        if !self.is_cut_off() || is_due {
+        if !self.is_isolated() || is_due {
             self.probed_at.set(now);
             return true;
         }
@@ -113,47 +115,47 @@
     }
 
     /// Returns a node that reached the store when it last reported.
-    fn helper(&self) -> Option<SocketAddr> {
+    fn relay(&self) -> Option<SocketAddr> {
         let now = self.clock.monotonic_now();
-        let helpers = self.helpers.borrow();
-        let heard = helpers.iter().filter(|(_, valid_until)| now < **valid_until);
-        heard.map(|(member, _)| *member).choose(&mut rand::rng())
+        let relays = self.relays.borrow();
+        let usable = relays.iter().filter(|(_, valid_until)| now < **valid_until);
+        usable.map(|(member, _)| *member).choose(&mut rand::rng())
     }
 }
 
 /// Transport that goes through another node when the store does not answer directly.
-pub struct ReachingTransport {
+pub struct FailoverTransport {
     direct: Rc<HttpTransport>,
-    reach: Rc<StoreReach>,
+    reach: Rc<StoreReachability>,
     metrics: Rc<FrontMetrics>,
-    helpers: RefCell<HashMap<SocketAddr, Rc<HttpTransport>>>,
+    relays: RefCell<HashMap<SocketAddr, Rc<HttpTransport>>>,
 }
 
-impl ReachingTransport {
+impl FailoverTransport {
     /// Creates a transport over `direct` with the ways known to `reach`.
     #[must_use]
     pub fn new(
         direct: Rc<HttpTransport>,
-        reach: Rc<StoreReach>,
+        reach: Rc<StoreReachability>,
         metrics: Rc<FrontMetrics>,
     ) -> Self {
-        Self { direct, reach, metrics, helpers: RefCell::default() }
+        Self { direct, reach, metrics, relays: RefCell::default() }
     }
 
-    async fn call_helper(
+    async fn call_relay(
         &self,
-        helper: SocketAddr,
+        relay: SocketAddr,
         request: StoreRequest,
     ) -> Result<StoreReply, RowStoreError> {
         self.metrics.store_calls_relayed.inc();
         let transport = {
-            let mut helpers = self.helpers.borrow_mut();
-            let new = || Rc::new(HttpTransport::new(helper, Rc::clone(&self.metrics)));
-            Rc::clone(helpers.entry(helper).or_insert_with(new))
+            let mut relays = self.relays.borrow_mut();
+            let new = || Rc::new(HttpTransport::new(relay, Rc::clone(&self.metrics)));
+            Rc::clone(relays.entry(relay).or_insert_with(new))
         };
         let reply = transport.call(request).await?;
-        if reply.status == LOST_STATUS {
-            let detail = format!("{helper} got no answer");
+        if reply.status == ANSWER_LOST_STATUS {
+            let detail = format!("{relay} got no answer");
             return Err(RowStoreError::AnswerLost { detail });
         }
         Ok(reply)
@@ -161,26 +163,26 @@
 }
 
 #[async_trait(?Send)]
-impl Transport for ReachingTransport {
+impl Transport for FailoverTransport {
     async fn call(&self, request: StoreRequest) -> Result<StoreReply, RowStoreError> {
-        if self.reach.tries_direct() {
+        if self.reach.should_try_direct() {
             let result = self.direct.call(request.clone()).await;
-            let is_turned_away = match &result {
+            let is_failed = match &result {
                 Ok(reply) => matches!(reply.status, 429 | 503),
                 Err(_) => true,
             };
-            self.reach.note_direct(!is_turned_away);
+            self.reach.record_direct_call(!is_failed);
             // A write that may have taken effect must not be made once more from here.
-            let is_lost_write = request.method != Method::GET
+            let may_have_written = request.method != Method::GET
                 && matches!(result, Err(RowStoreError::AnswerLost { .. }));
-            if !is_turned_away || is_lost_write || !self.reach.needs_help() {
+            if !is_failed || may_have_written || !self.reach.should_fail_over() {
                 return result;
             }
-            let Some(helper) = self.reach.helper() else { return result };
-            return self.call_helper(helper, request).await;
+            let Some(relay) = self.reach.relay() else { return result };
+            return self.call_relay(relay, request).await;
         }
-        match self.reach.helper() {
-            Some(helper) => self.call_helper(helper, request).await,
+        match self.reach.relay() {
+            Some(relay) => self.call_relay(relay, request).await,
             None => self.direct.call(request).await,
         }
     }
--- a/crates/daemon/src/front/connection/relay_server.rs
+++ b/crates/daemon/src/front/connection/relay_server.rs
@@ -18,7 +18,7 @@
 use crate::consts::JSON;
 
 /// Status that says that a call may have taken effect.
-pub const LOST_STATUS: u16 = 504;
+pub const ANSWER_LOST_STATUS: u16 = 504;
 /// Largest head of a call.
 const HEAD_MAX_BYTES: usize = 8 * 1024;
 /// Largest body of a call, above the store's own limit.
@@ -45,7 +45,7 @@
         let Ok(body) = body else { break };
         let reply = call(&direct, &head, body).await;
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
-        listener::send_whole(&io, &codec, status, JSON, &reply.body).await?;
+        listener::send_answer(&io, &codec, status, JSON, &reply.body).await?;
     }
     io.shutdown().await
 }
@@ -61,7 +61,9 @@
     };
     direct.call(request).await.unwrap_or_else(|error| {
         let status = match error {
-            RowStoreError::AnswerLost { .. } | RowStoreError::Malformed { .. } => LOST_STATUS,
+            RowStoreError::AnswerLost { .. } | RowStoreError::Malformed { .. } => {
+                ANSWER_LOST_STATUS
+            }
             RowStoreError::Unreachable { .. } | RowStoreError::Refused { .. } => 503,
         };
         StoreReply { status, body: Bytes::from(error.to_string()) }
--- a/crates/daemon/src/front/connection/responder.rs
+++ b/crates/daemon/src/front/connection/responder.rs
@@ -44,7 +44,7 @@
     }
 
     /// Ends the connection after this answer.
-    pub fn close_after(&mut self) {
+    pub fn close_after_answer(&mut self) {
         self.closes = true;
     }
 
--- a/crates/daemon/src/front/connection/status.rs
+++ b/crates/daemon/src/front/connection/status.rs
@@ -28,7 +28,7 @@
             break;
         }
         let (status, body) = answer(&node, request.path());
-        listener::send_whole(&io, &codec, status, "text/plain", &body).await?;
+        listener::send_answer(&io, &codec, status, "text/plain", &body).await?;
     }
     io.shutdown().await
 }
--- a/crates/daemon/src/front/connection/store.rs
+++ b/crates/daemon/src/front/connection/store.rs
@@ -21,20 +21,20 @@
 const REUSE_IDLE_MAX: Duration = Duration::from_secs(3);
 
 /// Shortest wait for an answer, several times what the store takes in calm.
-const PATIENCE_MIN: Duration = Duration::from_millis(120);
+const ANSWER_TIMEOUT_MIN: Duration = Duration::from_millis(120);
 /// Multiple of the time that answers take at which one counts as lost.
-const PATIENCE_FACTOR: u32 = 5;
+const ANSWER_TIMEOUT_FACTOR: u32 = 5;
 /// Weight of the newest answer in the time that answers take, as a divisor.
-const PATIENCE_SMOOTHING: u32 = 4;
+const ANSWER_TIMEOUT_DECAY: u32 = 4;
 
 /// HTTP transport with a pool of its own.
 pub struct HttpTransport {
     address: SocketAddr,
     pool: BackendPool,
     metrics: Rc<FrontMetrics>,
-    patience: Cell<Duration>,
+    answer_timeout: Cell<Duration>,
     /// Whether the last call got no answer.
-    was_silent: Cell<bool>,
+    is_last_answer_lost: Cell<bool>,
 }
 
 impl HttpTransport {
@@ -45,8 +45,8 @@
             address,
             pool: BackendPool::default(),
             metrics,
-            patience: Cell::new(PATIENCE_MIN),
-            was_silent: Cell::new(false),
+            answer_timeout: Cell::new(ANSWER_TIMEOUT_MIN),
+            is_last_answer_lost: Cell::new(false),
         }
     }
 
@@ -79,23 +79,24 @@
 
     /// Doubles the patience when calls in a row got no answer: a single lost answer says nothing
     /// of the store's pace.
-    fn note_silence(&self, longest: Duration) {
-        if self.was_silent.replace(true) {
-            self.patience.set((self.patience.get() * 2).min(longest));
+    fn record_lost_answer(&self, time_limit: Duration) {
+        if self.is_last_answer_lost.replace(true) {
+            self.answer_timeout.set((self.answer_timeout.get() * 2).min(time_limit));
         }
     }
 
     /// Adapts the patience to the time that an answer took.
-    fn note_answer(&self, taken: Duration) {
-        self.was_silent.set(false);
-        let wanted = (taken * PATIENCE_FACTOR).max(PATIENCE_MIN);
-        let patience = self.patience.get();
-        let next = if wanted > patience {
-            wanted
+    fn record_answer_time(&self, taken: Duration) {
+        self.is_last_answer_lost.set(false);
+        let target = (taken * ANSWER_TIMEOUT_FACTOR).max(ANSWER_TIMEOUT_MIN);
+        let answer_timeout = self.answer_timeout.get();
+        let next = if target > answer_timeout {
+            target
         } else {
-            patience.saturating_sub(patience.saturating_sub(wanted) / PATIENCE_SMOOTHING)
+            answer_timeout
+                .saturating_sub(answer_timeout.saturating_sub(target) / ANSWER_TIMEOUT_DECAY)
         };
-        self.patience.set(next);
+        self.answer_timeout.set(next);
     }
 
     fn encode(&self, request: &StoreRequest) -> Result<Request<Full<Bytes>>, RowStoreError> {
@@ -120,17 +121,17 @@
     async fn call(&self, request: StoreRequest) -> Result<StoreReply, RowStoreError> {
         let began_at = Instant::now();
         self.metrics.store_calls.with_label_values(&[operation(&request.path)]).inc();
-        let longest = request.wait + self.patience.get().min(request.timeout);
-        let result = timeout(longest, self.exchange(&request)).await.unwrap_or_else(|_| {
-            self.note_silence(request.timeout);
-            let detail = format!("no answer within {} ms", longest.as_millis());
+        let time_limit = request.wait + self.answer_timeout.get().min(request.timeout);
+        let result = timeout(time_limit, self.exchange(&request)).await.unwrap_or_else(|_| {
+            self.record_lost_answer(request.timeout);
+            let detail = format!("no answer within {} ms", time_limit.as_millis());
             Err(RowStoreError::AnswerLost { detail })
         });
         let taken = began_at.elapsed();
         if request.wait.is_zero() {
             self.metrics.store_seconds.observe(taken.as_secs_f64());
             if result.is_ok() {
-                self.note_answer(taken);
+                self.record_answer_time(taken);
             }
         }
         if let Err(error) = &result {
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -18,7 +18,7 @@
 use super::node::FrontNode;
 use crate::cli::FrontArgs;
 use crate::front::connection::peers::Peers;
-use crate::front::connection::reach::{ReachingTransport, StoreReach};
+use crate::front::connection::reach::{FailoverTransport, StoreReachability};
 use crate::front::connection::store::HttpTransport;
 use crate::front::connection::{caller, relay_server, status};
 use crate::front::version::follow;
@@ -83,9 +83,9 @@
     let relay_listener = TcpListener::bind(peer_address).await?;
     let clock = FrontClock::new();
     let direct = Rc::new(HttpTransport::new(settings.store_address, Rc::clone(&metrics)));
-    let reach = Rc::new(StoreReach::new(clock.clone()));
+    let reach = Rc::new(StoreReachability::new(clock.clone()));
     let transport =
-        ReachingTransport::new(Rc::clone(&direct), Rc::clone(&reach), Rc::clone(&metrics));
+        FailoverTransport::new(Rc::clone(&direct), Rc::clone(&reach), Rc::clone(&metrics));
     let store = StoreClient::new(Rc::new(transport), STORE_TIMEOUT);
     log::info!(
         "event=started vm={} zone={} callers={} store={} memory_max_bytes={} version={}",
@@ -120,9 +120,9 @@
     let (receiving, receiver) = (Rc::clone(peers), Rc::clone(node));
     tokio::task::spawn_local(async move { receiving.receive(&receiver).await });
     let (reporting, reporter) = (Rc::clone(peers), Rc::clone(node));
-    tokio::task::spawn_local(async move { reporting.report(&reporter).await });
+    tokio::task::spawn_local(async move { reporting.send_reports(&reporter).await });
     let (listing, listed) = (Rc::clone(peers), Rc::clone(node));
-    tokio::task::spawn_local(async move { listing.keep_listed(&listed).await });
+    tokio::task::spawn_local(async move { listing.maintain_membership(&listed).await });
 }
 
 async fn keep_house(node: Rc<FrontNode>) {
@@ -178,7 +178,7 @@
     }
     let now = node.clock.monotonic_now();
     node.ledgers.give_back_all(now.saturating_sub(STOP_GIVE_BACK)).await;
-    peers.say_goodbye(node).await;
+    peers.announce_leaving(node).await;
     log::info!(
         "event=stopped elapsed_ms={} connections={} requests={}",
         begun_at.elapsed().as_millis(),
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -22,7 +22,7 @@
 use super::stop::{Count, StopSignal};
 use crate::front::connection::BackendPool;
 use crate::front::connection::peers::Peers;
-use crate::front::connection::reach::StoreReach;
+use crate::front::connection::reach::StoreReachability;
 
 /// Shortest and longest pause that a caller over its team's limit is asked to make.
 const LIMIT_RETRY_MIN_MS: u64 = 50;
@@ -44,7 +44,7 @@
     /// The platform's store.
     pub store: StoreClient,
     /// Ways to the store.
-    pub reach: Rc<StoreReach>,
+    pub reach: Rc<StoreReachability>,
     /// Backend servers by the platform's list.
     pub servers: RefCell<ServerList>,
     /// Load and failures of backend servers.
@@ -75,7 +75,7 @@
     pub fn new(
         settings: NodeSettings,
         clock: FrontClock,
-        (store, reach): (StoreClient, Rc<StoreReach>),
+        (store, reach): (StoreClient, Rc<StoreReachability>),
         metrics: Rc<FrontMetrics>,
         peers: Rc<Peers>,
     ) -> Self {
@@ -181,7 +181,7 @@
             && self.has_servers.get()
             && self.has_members.get()
             && !self.stop.is_stopping()
-            && !self.reach.is_cut_off()
+            && !self.reach.is_isolated()
     }
 
     /// Records that the list of backend servers was read.
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -258,7 +258,7 @@
         sent_at: Instant,
     ) -> Step {
         if let Some(seconds) = outbound::keep_alive_seconds(&response) {
-            connection.note_keep_alive(seconds);
+            connection.set_keep_alive(seconds);
         }
         match outbound::judge(&response, &self.admitted.context.id) {
             Verdict::NotRun(status) => {
--- a/crates/daemon/src/front/version/follow.rs
+++ b/crates/daemon/src/front/version/follow.rs
@@ -13,12 +13,12 @@
 use crate::front::process::FrontNode;
 
 /// Longest wait of one call for a new configuration; each answer also proves freshness.
-const CONFIG_WAIT: Duration = Duration::from_secs(1);
+const CONFIG_POLL_WAIT: Duration = Duration::from_secs(1);
 /// Time between two reads of the changes to the list of backend servers, a third of the time
 /// within which a draining server must get no more requests.
-const SERVERS_INTERVAL: Duration = Duration::from_millis(600);
+const SERVERS_POLL_INTERVAL: Duration = Duration::from_millis(600);
 /// Shortest and longest pause after a failed call.
-const FAILURE_PAUSE_MS: std::ops::Range<u64> = 50..250;
+const RETRY_DELAY_MS: std::ops::Range<u64> = 50..250;
 
 /// Progress of following one table.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     version: Option<u64>,
     /// Newest version seen; older answers are stale.
     newest: u64,
-    is_lost: bool,
+    is_failing: bool,
 }
 
 impl Cursor {
@@ -44,7 +44,7 @@
 
 /// Changes of a table, or all of its rows.
 enum Update {
-    Whole(Vec<RowChange>),
+    Snapshot(Vec<RowChange>),
     Changes(Vec<RowChange>),
 }
 
@@ -52,18 +52,18 @@
 pub async fn follow_config(node: Rc<FrontNode>) {
     let mut cursor = Cursor::default();
     loop {
-        let asked_at = node.clock.boot_now();
+        let requested_at = node.clock.boot_now();
         // After a failure the first answer is due at once, for its proof of freshness.
-        let wait = if cursor.is_lost { Duration::ZERO } else { CONFIG_WAIT };
+        let wait = if cursor.is_failing { Duration::ZERO } else { CONFIG_POLL_WAIT };
         match read(&node, &mut cursor, OPERATOR_TABLE, wait).await {
-            Ok(Some(Update::Whole(rows) | Update::Changes(rows))) => {
+            Ok(Some(Update::Snapshot(rows) | Update::Changes(rows))) => {
                 for row in rows.iter().filter(|row| row.key == CONFIG_KEY) {
                     adopt_config(&node, row);
                 }
-                node.prove_fresh(asked_at);
+                node.prove_fresh(requested_at);
             }
             Ok(None) => log::warn!("event=stale_answer table={OPERATOR_TABLE}"),
-            Err(_) => pause().await,
+            Err(_) => delay_retry().await,
         }
     }
 }
@@ -104,12 +104,12 @@
                 changes.extend(apply_servers(&node, update, now));
                 node.note_server_changes(&changes);
                 node.note_servers_read();
-                tokio::time::sleep(SERVERS_INTERVAL).await;
+                tokio::time::sleep(SERVERS_POLL_INTERVAL).await;
             }
             Ok(None) => log::warn!("event=stale_answer table={SERVERS_TABLE}"),
             Err(_) => {
                 node.servers.borrow_mut().note_store_failure(now);
-                pause().await;
+                delay_retry().await;
             }
         }
     }
@@ -118,7 +118,7 @@
 fn apply_servers(node: &FrontNode, update: Update, now: Duration) -> Vec<ServerChange> {
     let mut list = node.servers.borrow_mut();
     match update {
-        Update::Whole(rows) => {
+        Update::Snapshot(rows) => {
             let entries = rows.iter().filter_map(decode_server).collect();
             list.replace(entries, now)
         }
@@ -157,10 +157,10 @@
 ) -> Result<Option<Update>, RowStoreError> {
     let result = read_once(node, cursor, table, wait).await;
     match &result {
-        Ok(_) if cursor.is_lost => {
+        Ok(_) if cursor.is_failing => {
             log::info!("event=store_regained table={table} version={}", cursor.newest);
         }
-        Err(error) if !cursor.is_lost => {
+        Err(error) if !cursor.is_failing => {
             log::warn!(
                 "event=store_lost table={table} version={} cause=\"{error}\"",
                 cursor.newest
@@ -168,7 +168,7 @@
         }
         _ => {}
     }
-    cursor.is_lost = result.is_err();
+    cursor.is_failing = result.is_err();
     result
 }
 
@@ -190,12 +190,12 @@
         }
     }
     let (rows, version) = node.store.read_part(table, "").await?;
-    Ok(cursor.advance(version).then_some(Update::Whole(rows)))
+    Ok(cursor.advance(version).then_some(Update::Snapshot(rows)))
 }
 
-async fn pause() {
-    let pause_ms = rand::rng().random_range(FAILURE_PAUSE_MS);
-    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+async fn delay_retry() {
+    let delay_ms = rand::rng().random_range(RETRY_DELAY_MS);
+    tokio::time::sleep(Duration::from_millis(delay_ms)).await;
 }
 
 /// Replaces the routing table by a newer one.
