--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -1,9 +1,9 @@
 //! A node on the users' platform.
 //!
-//! One thread does all the work: a request needs a handful of short steps, and each hop between
-//! threads costs more than any of them. Modules follow life span: [`process`] for the node,
-//! [`version`] for the configuration in force, [`connection`] for links to callers, backend
-//! servers and the store, [`request`] for one request.
+//! The node is single-threaded: a request takes only a few short steps, and handing it to another
+//! thread costs more than any of them. Modules are split by lifetime: [`process`] for the node,
+//! [`version`] for the active configuration, [`connection`] for connections to callers, backend
+//! servers and the store, [`request`] for a single request.
 
 pub mod connection;
 pub mod process;
--- a/crates/daemon/src/front/process/clock.rs
+++ b/crates/daemon/src/front/process/clock.rs
@@ -8,26 +8,26 @@
 
 use crate::process::clock::SystemClock;
 
-/// The monotonic clock, and the clock that also counts suspended time.
+/// The monotonic clock and the boot-time clock, which also counts time that the VM is suspended.
 #[derive(Debug, Clone, Default)]
 pub struct FrontClock {
     monotonic: SystemClock,
 }
 
 impl FrontClock {
-    /// Creates clocks that start now.
+    /// Creates clocks; the monotonic one starts now.
     #[must_use]
     pub fn new() -> Self {
         Self { monotonic: SystemClock::new() }
     }
 
-    /// Returns the monotonic time since the start.
+    /// Returns the monotonic time since the clock was created.
     #[must_use]
     pub fn monotonic_now(&self) -> Duration {
         self.monotonic.monotonic()
     }
 
-    /// Returns the time since boot, with the time for which the VM was suspended.
+    /// Returns the time since boot, including time for which the VM was suspended.
     #[must_use]
     pub fn boot_now(&self) -> Duration {
         let now = clock_gettime(ClockId::Boottime);
@@ -38,7 +38,7 @@
         )
     }
 
-    /// Returns the monotonic clock for the coordination parts.
+    /// Returns the monotonic clock as a trait object, as the coordination crate takes it.
     #[must_use]
     pub fn monotonic_clock(&self) -> Rc<dyn Clock> {
         Rc::new(self.monotonic)
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, reload and planned stop of a node.
+//! Startup, reload and graceful shutdown of a node.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -23,28 +23,28 @@
 use crate::front::connection::{caller, relay_server, status};
 use crate::front::version::follow;
 
-/// Longest wait for an answer of the store, within which even a slow one has answered.
+/// Timeout of store calls; even a slow store answers within it.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two writes of buffered log lines.
+/// Interval between writes of buffered log lines.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two rounds of housekeeping.
+/// Interval between housekeeping runs.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
-/// Time without a turn after which a program's budget is forgotten, longer than programs pause.
+/// Idle time after which a program's budget is evicted; longer than programs pause between turns.
 const PROGRAM_IDLE_MAX: Duration = Duration::from_secs(300);
-/// Time since the last turn of programs whose claims are given back at a planned stop: those that
-/// probably go on elsewhere.
+/// Longest time since the last turn of programs whose claims are released at shutdown: these
+/// programs probably continue on other nodes.
 const STOP_RELEASE_WINDOW: Duration = Duration::from_secs(10);
-/// Time after the stop signal for which idle connections of callers are kept.
+/// Delay between the stop signal and the closing of idle caller connections.
 const STOP_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1_200);
-/// Time after the stop signal for which new connections still come: the balancer asks every
-/// second and needs two misses.
+/// Time after the stop signal during which new connections still arrive: the load balancer checks
+/// readiness every second and stops after two failed checks.
 const STOP_DURATION_MIN: Duration = Duration::from_millis(3_200);
-/// Part of the platform's grace that is left for the last writes.
+/// Time reserved at the end of the platform's grace period for the final writes.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
-/// Time between two checks of a stop's progress.
+/// Interval between checks whether the shutdown can finish.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a node until it is told to stop.
+/// Runs a node until it receives a stop signal.
 #[must_use]
 pub fn run(args: &FrontArgs, level: LevelFilter) -> ExitCode {
     let log_buffer = match logs::init(level) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// Waits for the signal to stop; reads the settings again when told to.
+/// Waits for SIGTERM or SIGINT; on SIGHUP, checks the settings file for changes.
 async fn wait_for_stop(settings_path: &Path, node: &FrontNode) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -149,7 +149,7 @@
     }
 }
 
-/// Compares the settings file with the settings in force.
+/// Logs whether the settings file differs from the active settings.
 fn compare_settings(path: &Path, node: &FrontNode) {
     match NodeSettings::read(path) {
         Ok(settings) if settings == node.settings => log::info!("event=reloaded changed=false"),
@@ -158,7 +158,8 @@
     }
 }
 
-/// Stops as planned: serves what is under way and what still comes.
+/// Shuts down gracefully: serves requests in flight and those that still arrive, within the grace
+/// period.
 async fn shut_down(node: &Rc<FrontNode>, peers: &Peers) {
     let begun_at = Instant::now();
     log::info!(
--- a/crates/daemon/src/front/process/logs.rs
+++ b/crates/daemon/src/front/process/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output, bounded and never blocking.
+//! Logging to standard output through a bounded buffer, without blocking.
 
 use std::collections::VecDeque;
 use std::io::{self, Write};
@@ -9,9 +9,9 @@
 
 use crate::logs::dispatch;
 
-/// Bytes of lines that wait for a slow reader before further lines are dropped.
+/// Capacity of the buffer; lines are dropped while a slow reader keeps it full.
 const BUFFER_MAX_BYTES: usize = 512 * 1024;
-/// Bytes that a pipe takes without blocking once it reports to be writable.
+/// Bytes that a pipe accepts without blocking once it is reported writable.
 const WRITE_MAX_BYTES: usize = 4_096;
 
 #[derive(Debug, Default)]
@@ -20,12 +20,12 @@
     dropped_lines: u64,
 }
 
-/// Lines that wait to be written.
+/// Buffer of log lines that are not yet written; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct LogBuffer(Arc<Mutex<Buffer>>);
 
 impl LogBuffer {
-    /// Writes as much as the reader takes without blocking.
+    /// Writes as many bytes as standard output accepts without blocking.
     pub fn flush(&self) {
         let stdout = io::stdout();
         let now = Timespec { tv_sec: 0, tv_nsec: 0 };
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// Fails when a logger was set before.
+/// Fails when a logger is already set.
 pub fn init(level: LevelFilter) -> Result<LogBuffer, SetLoggerError> {
     let buffer = LogBuffer::default();
     let output = Box::new(buffer.clone()) as Box<dyn Write + Send>;
--- a/crates/daemon/src/front/process/metrics.rs
+++ b/crates/daemon/src/front/process/metrics.rs
@@ -5,7 +5,7 @@
 
 use crate::registry::MetricRegistry;
 
-/// Why a request was sent once more; also the label of the retry counter.
+/// Reason for a retry; also the label of the retry counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReason {
     /// A backend server could not be reached.
@@ -32,9 +32,9 @@
     registry: MetricRegistry,
     refusals: IntCounterVec,
     retries: IntCounterVec,
-    /// Answers that were cut because the backend server broke off.
+    /// Answers truncated because the request failed after their head was sent.
     pub answers_broken_off: IntCounter,
-    /// Callers that left before their answer.
+    /// Callers that disconnected before the end of their answer.
     pub callers_gone: IntCounter,
     /// Connections opened to backend servers.
     pub backend_connections: IntCounter,
@@ -46,23 +46,23 @@
     pub store_failures: IntCounter,
     /// Duration of store calls, in seconds.
     pub store_seconds: Histogram,
-    /// Waits for a token of the team's limit, in seconds.
+    /// Time that requests wait for a token of their team's limit, in seconds.
     pub limit_wait_seconds: Histogram,
-    /// Time from a request's arrival to its first sending, in seconds.
+    /// Time from a request's arrival to its first attempt, in seconds.
     pub added_seconds: Histogram,
     /// Time from a turn's arrival to its first event, in seconds.
     pub first_event_seconds: Histogram,
-    /// Configuration version in force.
+    /// Version of the active configuration.
     pub config_version: IntGauge,
-    /// Time since the configuration was proved current, in milliseconds; -1 before the first time.
+    /// Time since the configuration was last confirmed as current, in milliseconds; -1 if never.
     pub config_age_ms: IntGauge,
     /// Backend servers in the list.
     pub servers: IntGauge,
     /// Backend servers that take no new work.
     pub servers_draining: IntGauge,
-    /// Other nodes heard lately.
+    /// Other nodes that reported recently.
     pub members_heard: IntGauge,
-    /// Requests under way.
+    /// Requests in flight.
     pub requests: IntGauge,
     /// Open connections of callers.
     pub connections: IntGauge,
@@ -73,7 +73,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when two metrics share a name, which is a fault of this module.
+    /// Panics when two metrics share a name, which is a bug in this module.
     #[must_use]
     pub fn new() -> Self {
         let registry = MetricRegistry::default();
@@ -120,12 +120,12 @@
         self.refusals.with_label_values(&[kind.label()]).inc();
     }
 
-    /// Counts a further attempt.
+    /// Counts a retry.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.with_label_values(&[reason.label()]).inc();
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> Vec<u8> {
         self.registry.render()
--- a/crates/daemon/src/front/process/mod.rs
+++ b/crates/daemon/src/front/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process.
+//! State and tasks that live as long as the process.
 
 mod clock;
 mod lifecycle;
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -1,4 +1,4 @@
-//! State of a node.
+//! State shared by the requests and tasks of a node.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,12 +24,12 @@
 use crate::front::connection::peers::Peers;
 use crate::front::connection::reach::StoreReach;
 
-/// Shortest and longest pause that a caller over its team's limit is asked to make.
+/// Shortest and longest `Retry-After` delay for callers over their team's limit.
 const LIMIT_RETRY_AFTER_MIN_MS: u64 = 50;
 const LIMIT_RETRY_AFTER_MAX_MS: u64 = 2_000;
-/// Part of the process's memory that cached turns may use.
+/// Divisor of the process's memory limit: cached turns may use an eighth of it.
 const TURN_CACHE_MEMORY_DIVISOR: u64 = 8;
-/// Shortest and longest pause before a turn's record is written once more.
+/// Shortest and longest backoff between attempts to store a turn.
 const PERSIST_RETRY_DELAY_MIN: Duration = Duration::from_millis(50);
 const PERSIST_RETRY_DELAY_MAX: Duration = Duration::from_millis(400);
 
@@ -43,25 +43,25 @@
     pub metrics: Rc<FrontMetrics>,
     /// The platform's store.
     pub store: StoreClient,
-    /// Ways to the store.
+    /// Reachability of the store, directly and through other nodes.
     pub reach: Rc<StoreReach>,
-    /// Backend servers by the platform's list.
+    /// Backend servers in the platform's list.
     pub servers: RefCell<ServerList>,
-    /// Load and failures of backend servers.
+    /// Load and recent failures of backend servers.
     pub placement: RefCell<Placement>,
-    /// Team limits over all nodes.
+    /// Limits of the teams, shared by all nodes.
     pub limiter: RefCell<UsageLimiter>,
-    /// Token budgets.
+    /// Token budgets of programs.
     pub ledgers: Ledgers,
-    /// Kept turns.
+    /// Stored turns.
     pub turns: Turns,
     /// Idle connections to backend servers.
     pub pool: BackendPool,
-    /// Planned stop.
+    /// Signal of a graceful shutdown.
     pub stop: StopSignal,
     /// Open connections of callers.
     pub caller_connections: ActiveCount,
-    /// Requests of callers under way.
+    /// Callers' requests in flight.
     pub caller_requests: ActiveCount,
     table: RefCell<Rc<RoutingTable>>,
     freshness: RefCell<Freshness>,
@@ -70,7 +70,7 @@
 }
 
 impl FrontNode {
-    /// Creates a node that knows nothing yet.
+    /// Creates a node without configuration, backend servers or known nodes.
     #[must_use]
     pub fn new(
         settings: NodeSettings,
@@ -107,13 +107,13 @@
         }
     }
 
-    /// Returns the routing table in force; version 0 stands for none.
+    /// Returns the active routing table; its version is 0 before the first one.
     #[must_use]
     pub fn table(&self) -> Rc<RoutingTable> {
         Rc::clone(&self.table.borrow())
     }
 
-    /// Puts a routing table in force.
+    /// Replaces the active routing table.
     pub fn replace_table(&self, table: Rc<RoutingTable>) {
         self.table.replace(table);
     }
@@ -127,11 +127,11 @@
         }
     }
 
-    /// Checks that withdrawn keys and new routes would be known.
+    /// Checks that the configuration is recent enough to rely on its keys and routes.
     ///
     /// # Errors
     ///
-    /// Fails when the last proof of freshness is too old.
+    /// Fails when the configuration was last confirmed as current too long ago.
     pub fn require_fresh(&self) -> Result<(), Refusal> {
         let now = self.clock.boot_now();
         let freshness = self.freshness.borrow();
@@ -145,7 +145,8 @@
         ))
     }
 
-    /// Takes one request from the limit of `team`; returns the time after which it may be sent.
+    /// Takes a token from the limit of `team`; returns the delay before the request may
+    /// be sent.
     ///
     /// # Errors
     ///
@@ -170,12 +171,12 @@
         })
     }
 
-    /// Gives back a request that was counted and never sent.
+    /// Refunds the token of a request that was never sent.
     pub fn refund_limit_token(&self, team: &str) {
         self.limiter.borrow_mut().refund(team_hash(team));
     }
 
-    /// Returns whether the balancer may send new connections.
+    /// Returns whether the load balancer may send new connections.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.table().version() > 0
@@ -193,7 +194,7 @@
         self.has_servers.set(true);
     }
 
-    /// Shows in the metrics what changes with time and requests.
+    /// Updates the gauges of the configuration's age and of open requests and connections.
     pub fn update_gauges(&self) {
         let age = self.freshness.borrow().age(self.clock.boot_now());
         self.metrics.config_age_ms.set(age.map_or(-1, millis_i64));
@@ -201,7 +202,7 @@
         self.metrics.connections.set(gauge_value(self.caller_connections.get()));
     }
 
-    /// Records that the other nodes are listed and had time to report.
+    /// Records that the list of the other nodes was read and that they had time to report.
     pub fn note_members_known(&self) {
         if !self.has_members.replace(true) {
             let covered = self.limiter.borrow().covered_share(self.clock.monotonic_now());
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Logs changes of the list and drops what belonged to servers that are gone.
+    /// Logs changes to the list of backend servers and drops the state of removed servers.
     pub fn note_server_changes(&self, changes: &[ServerChange]) {
         for change in changes {
             match change {
@@ -223,10 +224,10 @@
         }
     }
 
-    /// Keeps a turn; returns whether the store accepted it before `deadline`.
+    /// Stores a turn; returns whether the store accepted it before `deadline`.
     ///
-    /// The end of the answer waits for this: a caller that has it may rely on the turn, whatever
-    /// fails afterwards.
+    /// The answer ends only after that: a caller that got the complete answer can rely on the turn,
+    /// whatever fails afterwards.
     pub async fn persist_turn(
         &self,
         turn: &str,
--- a/crates/daemon/src/front/process/stop.rs
+++ b/crates/daemon/src/front/process/stop.rs
@@ -1,11 +1,11 @@
-//! A planned stop, and what it waits for.
+//! Signal of a graceful shutdown, and counters of the activity that it waits for.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::watch;
 
-/// Phase of a planned stop.
+/// Phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
     Serving,
@@ -15,7 +15,7 @@
     Closing,
 }
 
-/// Tells the connections of a node that it stops.
+/// Notifies the connections of a node that it shuts down.
 #[derive(Debug)]
 pub struct StopSignal {
     phase: watch::Sender<Phase>,
@@ -28,47 +28,47 @@
 }
 
 impl StopSignal {
-    /// Announces the stop.
+    /// Starts the shutdown: answers carry `Connection: close` from now on.
     pub fn leave(&self) {
         self.phase.send_replace(Phase::Leaving);
     }
 
-    /// Has idle connections closed.
+    /// Signals that idle connections are to be closed.
     pub fn close_idle(&self) {
         self.phase.send_replace(Phase::Closing);
     }
 
-    /// Returns whether the stop was announced.
+    /// Returns whether the shutdown has started.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         *self.phase.borrow() >= Phase::Leaving
     }
 
-    /// Completes when idle connections are to be closed.
+    /// Waits until idle connections are to be closed.
     pub async fn wait_for_idle_close(&self) {
         let mut phase = self.phase.subscribe();
-        // The sender lives as long as this borrow, so waiting cannot fail.
+        // `self` holds the sender, so waiting cannot fail.
         let _ = phase.wait_for(|phase| *phase >= Phase::Closing).await;
     }
 }
 
-/// Number of things under way.
+/// Number of active connections or requests; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveCount(Rc<Cell<usize>>);
 
-/// Counts one thing until dropped.
+/// Guard that counts one connection or request as active until dropped.
 #[derive(Debug)]
 pub struct ActiveGuard(ActiveCount);
 
 impl ActiveCount {
-    /// Counts one more until the returned guard is dropped.
+    /// Increments the count until the returned guard is dropped.
     #[must_use]
     pub fn track(&self) -> ActiveGuard {
         self.0.set(self.0.get() + 1);
         ActiveGuard(self.clone())
     }
 
-    /// Returns the number of guards alive.
+    /// Returns the number of live guards.
     #[must_use]
     pub fn get(&self) -> usize {
         self.0.get()
--- a/crates/daemon/src/front/request/admission.rs
+++ b/crates/daemon/src/front/request/admission.rs
@@ -1,4 +1,4 @@
-//! Everything that is decided before a request is sent anywhere.
+//! Admission: the checks and decisions made before a request is sent to a backend server.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,20 +16,20 @@
 use crate::front::connection::caller::CallerRequest;
 use crate::front::process::FrontNode;
 
-/// Wait of a caller that names no deadline; the longest that the pages name.
+/// Deadline of requests that set none; the longest deadline that the documentation specifies.
 const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
 
-/// A request that may be sent to a backend server.
+/// A request that was admitted and may be sent to a backend server.
 pub struct Admitted {
-    /// What the request says of itself.
+    /// Decoded request headers.
     pub context: RequestContext,
-    /// Route in force when it was admitted.
+    /// Route that matched at admission.
     pub route: Route,
-    /// Service that serves it.
+    /// Service chosen by the route.
     pub service: String,
-    /// Team whose key came with it.
+    /// Team that the request's key belongs to; `None` if no key is required.
     pub team: Option<AdmittedTeam>,
-    /// Method.
+    /// Request method.
     pub method: Method,
     /// Path and query as received.
     pub target: String,
@@ -37,19 +37,19 @@
     pub headers: HeaderMap,
     /// Body to forward.
     pub body: Bytes,
-    /// Time after which the caller or the operator no longer waits.
+    /// Earlier of the caller's deadline and the route's timeout.
     pub deadline: Instant,
-    /// Time at which it was read.
+    /// Time at which the request head was read.
     pub arrived_at: Instant,
-    /// Set for turns with a token budget or a kept history.
+    /// Set for turns with a token budget or a stored history.
     pub turn: Option<OpenTurn>,
-    /// Key of its placement: equal keys share prompts.
+    /// Placement key; requests with equal keys share prompts.
     pub placement_key: String,
-    /// The request in its team's limit.
+    /// Token taken from the team's limit.
     pub limit_reservation: LimitReservation,
 }
 
-/// A request counted in its team's limit; given back when dropped before it was sent.
+/// A token taken from a team's limit; refunded on drop unless the request was sent.
 #[derive(Default)]
 pub struct LimitReservation {
     refund_to: Option<(Rc<FrontNode>, TeamId)>,
@@ -72,7 +72,7 @@
         Ok(reservation)
     }
 
-    /// Records that the request was sent.
+    /// Keeps the token, because a backend server may have run the request.
     pub fn commit(&mut self) {
         self.refund_to = None;
     }
@@ -88,19 +88,19 @@
 
 /// The team of an admitted request.
 pub struct AdmittedTeam {
-    /// Name.
+    /// Team name.
     pub name: TeamId,
-    /// Key that came with the request, to be checked again before each send.
+    /// Key sent with the request; checked again before each attempt.
     pub key: String,
-    /// Rank that goes before the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
 }
 
-/// A refusal before anything was sent.
+/// A request that was refused at admission.
 pub struct Refused {
-    /// Request id, if the request had one.
+    /// Request id; empty if the request had none.
     pub id: String,
-    /// Program, if the request named one.
+    /// Program id, if the request named one.
     pub program: Option<String>,
     /// Answer to the caller.
     pub refusal: Refusal,
@@ -181,7 +181,7 @@
     if let Some(route) = table.route(host.unwrap_or_default(), request.head.path()) {
         return Ok(route.clone());
     }
-    // A node that may lack the newest configuration cannot say that there is no route.
+    // A newer configuration may have the route, so only a fresh one can report it as unknown.
     node.require_fresh()?;
     Err(Refusal::not_run(
         RefusalKind::RouteUnknown,
@@ -237,7 +237,7 @@
     forwarded
 }
 
-/// Priority at an engine of requests of rank 0; leaves room for more urgent ones.
+/// Engine priority of requests with priority 0; leaves room for more urgent ones.
 const ENGINE_PRIORITY_BASE: u64 = 3;
-/// Least urgent priority at an engine.
+/// Least urgent engine priority.
 const ENGINE_PRIORITY_MAX: u64 = 9;
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -1,7 +1,7 @@
-//! Attempts of one request at backend servers.
+//! Attempts to run one request on backend servers.
 //!
-//! A request moves from *not sent* over *sent* to *answered*. Only a request that has surely not
-//! run, or that may run again, is sent once more.
+//! A request goes from *not sent* to *sent* to *answered*. It is retried only if it certainly did
+//! not run, or if its route allows it to run again.
 
 use std::io;
 use std::rc::Rc;
@@ -22,21 +22,21 @@
 use crate::front::connection::responder::Responder;
 use crate::front::process::{FrontNode, RetryReason};
 
-/// Idle time up to which a connection is used for a request that must not run twice: a peer that
-/// closes it meanwhile leaves open whether the request ran.
+/// Longest idle time of a connection that is reused for a request that must not run twice. If the
+/// peer closes an idle connection while the request is sent, it is unknown whether the request ran.
 const AT_MOST_ONCE_IDLE_MAX: Duration = Duration::from_millis(1_500);
-/// Idle time up to which a connection is used for other requests.
+/// Longest idle time of a connection that is reused for other requests.
 const IDLE_MAX: Duration = Duration::from_secs(10);
-/// Pause before asking servers again that were all busy.
+/// Delay before servers are tried again after all of them were busy or unreachable.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(15);
-/// Part of the remaining time that a request may wait for a busy service.
+/// Divisor of the remaining time: a request may wait a third of it for a busy service.
 const BUSY_WAIT_DIVISOR: u32 = 3;
-/// Least time left with which a request is sent; less cannot be answered.
+/// Shortest remaining time with which a request is sent; with less, no answer would arrive in time.
 const SEND_TIME_MIN: Duration = Duration::from_millis(5);
 
-/// Why a request got no whole answer from a backend server.
+/// Reason why the caller did not get a complete answer from a backend server.
 pub enum Failure {
-    /// The final answer is this refusal.
+    /// The request ends with this refusal.
     Refused(Refusal),
     /// The caller's connection failed.
     CallerGone(io::Error),
@@ -44,32 +44,33 @@
 
 /// Result of relaying an answer.
 pub enum RelayOutcome {
-    /// The caller has the whole answer.
+    /// The complete answer was sent to the caller.
     Complete,
-    /// The backend server broke off; says whether the connection can still be trusted.
+    /// The answer ended early or was faulty, for the given cause.
     Incomplete(String),
 }
 
-/// State of a request over its attempts.
+/// State of a request across its attempts.
 pub struct Attempts<'a> {
     pub(super) node: &'a Rc<FrontNode>,
     pub(super) admitted: Admitted,
-    /// Servers that refused the request without running it, since all were last asked.
+    /// Servers that were unreachable or refused the request without running it; skipped until all
+    /// servers are tried again.
     excluded: Vec<BackendId>,
-    /// Servers that may have run the request.
+    /// Servers that may have run the request, in the order of their first run.
     may_have_run_on: Vec<BackendId>,
-    /// Runs without a whole answer.
+    /// Attempts that may have run and got no complete answer.
     lost_count: u32,
-    /// Last event handed to the caller.
+    /// Id of the last event that the caller has.
     pub(super) last_event: Option<u64>,
     busy_until: Instant,
-    /// Whether the request was handed to any server.
+    /// Whether an attempt was sent to any server.
     is_sent: bool,
-    /// Whether the caller was handed an event.
+    /// Whether an event was sent to the caller.
     pub(super) has_forwarded_event: bool,
 }
 
-/// Counts a request under way at a backend server.
+/// Counts a request as in flight on a backend server until dropped.
 struct InFlightGuard<'a> {
     node: &'a FrontNode,
     server: BackendId,
@@ -88,7 +89,7 @@
     }
 }
 
-/// Runs a request to its final answer.
+/// Sends a request to backend servers until it is answered or refused for good.
 pub async fn run(
     node: &Rc<FrontNode>,
     admitted: Admitted,
@@ -115,7 +116,7 @@
     }
 }
 
-/// Result of one step: `None` asks for another.
+/// Result of one attempt; `None` means that another one follows.
 type AttemptResult = Result<Option<Result<(), Failure>>, Failure>;
 
 impl Attempts<'_> {
@@ -176,7 +177,7 @@
         Err(self.failure_before_send(Refusal::not_run(RefusalKind::KeyWithdrawn, message)))
     }
 
-    /// Returns a refusal that is true for a request that may have run before.
+    /// Returns `refusal`, or an unknown outcome if an earlier attempt may have run.
     fn failure_before_send(&self, refusal: Refusal) -> Failure {
         if self.may_have_run_on.is_empty() {
             return Failure::Refused(refusal);
@@ -219,7 +220,8 @@
         self.node.placement.borrow().choose(demand, ready, now).cloned()
     }
 
-    /// Returns the server that a further run must use, because no more servers may run it.
+    /// Returns the server that must get the next attempt once the route's limit on the number of
+    /// servers is reached; `None` below the limit or when that server takes no requests.
     fn pinned_server(&self) -> Option<&BackendId> {
         let runs = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
         let last = self.may_have_run_on.last()?;
@@ -227,7 +229,8 @@
         (runs >= self.admitted.route.attempts_max && is_listed).then_some(last)
     }
 
-    /// Waits while every server is busy, within a part of the request's time.
+    /// Waits before all servers are tried again; refuses if there are none or if `busy_until`
+    /// would pass.
     async fn wait_for_server(&mut self) -> AttemptResult {
         if self.excluded.is_empty() || Instant::now() + BUSY_RETRY_DELAY > self.busy_until {
             let message = "no backend server can take the request now; retry later";
@@ -268,7 +271,7 @@
                     server.id,
                 );
                 if status == StatusCode::MISDIRECTED_REQUEST {
-                    self.note_failure(server, "other_server", "another server has the address");
+                    self.note_failure(server, "other_server", "address used by another server");
                 }
                 self.node.metrics.count_retry(RetryReason::BackendBusy);
                 self.excluded.push(server.id.clone());
@@ -307,7 +310,7 @@
         }
     }
 
-    /// Decides what follows an attempt that may have run without a whole answer.
+    /// Retries or refuses after an attempt that may have run but got no complete answer.
     fn handle_lost_attempt(&mut self, server: &ServerEntry, cause: &str) -> AttemptResult {
         self.note_failure(server, "answer", cause);
         let runs = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
@@ -375,7 +378,7 @@
     }
 }
 
-/// Pause that a caller is asked to make when every server is busy, in milliseconds.
+/// `Retry-After` delay in milliseconds for callers when every server is busy.
 const BUSY_RETRY_AFTER_MS: u64 = 150;
-/// Runs without a whole answer after which a repeatable request is given up.
+/// Lost attempts after which even a repeatable request is refused.
 const LOST_ATTEMPTS_MAX: u32 = 4;
--- a/crates/daemon/src/front/request/frames.rs
+++ b/crates/daemon/src/front/request/frames.rs
@@ -1,4 +1,4 @@
-//! Bodies of backend servers, read against a deadline.
+//! Reads response bodies of backend servers, bounded by a deadline.
 
 use std::time::Instant;
 
@@ -7,16 +7,16 @@
 use hyper::body::Incoming;
 use tokio::time::timeout_at;
 
-/// Reads the next bytes of a body; returns `None` at its end.
+/// Reads the next chunk of a body; returns `None` at its end.
 ///
 /// # Errors
 ///
-/// Returns why the body cannot be read to its end.
+/// Returns the cause if the body cannot be read further or the deadline has passed.
 pub async fn next_data(body: &mut Incoming, deadline: Instant) -> Result<Option<Bytes>, String> {
     loop {
         match timeout_at(deadline.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                // Trailers carry nothing for the caller.
+                // Trailers are dropped: they hold nothing for the caller.
                 if let Ok(data) = frame.into_data() {
                     return Ok(Some(data));
                 }
--- a/crates/daemon/src/front/request/mod.rs
+++ b/crates/daemon/src/front/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives for one request: admission, attempts at backend servers, the answer.
+//! Handling of one request: admission, attempts on backend servers, the answer.
 
 mod admission;
 mod attempt;
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// Fails when no whole answer could be sent; the caller's connection must then be cut.
+/// Fails when no complete answer could be sent; the caller's connection must then be closed.
 pub async fn serve(
     node: &Rc<FrontNode>,
     request: &CallerRequest,
--- a/crates/daemon/src/front/request/outbound.rs
+++ b/crates/daemon/src/front/request/outbound.rs
@@ -1,4 +1,4 @@
-//! The request as a backend server gets it, and the first check of its answer.
+//! Builds requests for backend servers and classifies the heads of their responses.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::admission::Admitted;
 
-/// Builds the request for `server`; `resume_after` is the last event that the caller has.
+/// Builds the request for `server`; `resume_after` is the id of the last event that the caller has.
 pub fn build(
     admitted: &Admitted,
     server: &ServerEntry,
@@ -32,18 +32,18 @@
     Ok(request)
 }
 
-/// What the head of an answer means.
+/// Classification of a response by its head.
 #[derive(Debug)]
 pub enum ResponseKind {
-    /// The request has not run.
+    /// The backend server states that it did not run the request.
     NotRun(StatusCode),
-    /// The backend server's answer, to be returned as it is.
+    /// A valid answer to this request, to be forwarded to the caller.
     Valid,
-    /// Not an answer to this request; the connection must not be used again.
+    /// Not a valid answer to this request, for the given cause; the connection must be closed.
     Invalid(&'static str),
 }
 
-/// Judges the head of an answer.
+/// Classifies a response by its head.
 #[must_use]
 pub fn classify(response: &Response<Incoming>, request_id: &str) -> ResponseKind {
     let fields = response.headers();
@@ -65,13 +65,14 @@
         return ResponseKind::Invalid("it bears no signature");
     }
     if matches!(status.as_u16(), 408 | 429 | 503) {
-        // Callers take these for a promise that the request has not run.
+        // To callers these statuses mean that the request did not run, but the backend server did
+        // not set the header that states it.
         return ResponseKind::Invalid("it promises what the backend server did not");
     }
     ResponseKind::Valid
 }
 
-/// Returns the idle time in seconds that an answer names.
+/// Returns the idle timeout in seconds from the `Keep-Alive` header of a response.
 #[must_use]
 pub fn keep_alive_seconds(response: &Response<Incoming>) -> Option<u64> {
     let value = response.headers().get("keep-alive")?.to_str().ok()?;
--- a/crates/daemon/src/front/request/relay.rs
+++ b/crates/daemon/src/front/request/relay.rs
@@ -1,4 +1,4 @@
-//! Answers with one body.
+//! Forwards answers that are not event streams.
 
 use bytes::{Bytes, BytesMut};
 use http::{Method, Response};
@@ -9,13 +9,13 @@
 use super::frames::next_data;
 use crate::front::connection::responder::{BodyLength, Responder};
 
-/// Bytes up to which an answer is read whole before its first byte is passed on, so that a cut
-/// answer can be replaced.
+/// Largest answer that is read completely before its first byte is sent to the caller, so that a
+/// truncated answer can still be replaced by another attempt.
 const BUFFERED_MAX_BYTES: usize = 256 * 1024;
-/// Largest body of a refusal that is read so that its connection can be used again.
+/// Largest body of a refusal that is read to the end to make its connection reusable.
 const DISCARD_MAX_BYTES: u64 = 16 * 1024;
 
-/// Reads and drops a body; returns whether its end was read.
+/// Reads and discards a body; returns whether its end was reached.
 pub async fn discard(response: Response<Incoming>) -> bool {
     let body = response.into_body();
     if body.is_end_stream() {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Passes an answer on once it is whole, or in parts if it is long.
+/// Forwards an answer once it is complete, or in chunks if it exceeds `BUFFERED_MAX_BYTES`.
 pub async fn forward_body(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
--- a/crates/daemon/src/front/request/stream.rs
+++ b/crates/daemon/src/front/request/stream.rs
@@ -1,4 +1,4 @@
-//! Event streams, passed on event by event.
+//! Forwards event streams, event by event.
 
 use bytes::Bytes;
 use dandelionfront_coordination::events::{EventSplitter, StreamEvent};
@@ -10,7 +10,7 @@
 use super::frames::next_data;
 use crate::front::connection::responder::{BodyLength, Responder};
 
-/// Passes a stream on; only whole events in their order reach the caller.
+/// Forwards a stream; only complete events in sequence reach the caller.
 pub async fn forward_events(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
@@ -53,7 +53,7 @@
     Ok(RelayOutcome::Complete)
 }
 
-/// Passes one event on, unless it does not follow the last one.
+/// Forwards one event; returns a cause instead if its id does not follow the last one.
 async fn forward_event(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
--- a/crates/daemon/src/front/request/turn.rs
+++ b/crates/daemon/src/front/request/turn.rs
@@ -1,4 +1,4 @@
-//! Turns of programs: their token budget and their kept history.
+//! Turns of programs: reservation of token budget and the stored history.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -12,17 +12,19 @@
 
 use crate::front::process::FrontNode;
 
-/// A turn whose most tokens are reserved; settles what was delivered when dropped.
+/// A turn in progress; on drop, its token reservation is settled with the tokens delivered.
 pub struct OpenTurn {
     node: Rc<FrontNode>,
     request: String,
-    /// Program whose budget holds the turn, and the tokens reserved.
+    /// Program whose budget the turn draws on, and the tokens reserved.
     reserved: Option<(String, u64)>,
     tokens_per_event: u64,
     delivered_events: u64,
+    /// Set until the turn is stored, if its route stores turns.
     pending: Option<PendingRecord>,
 }
 
+/// Content of a turn that is stored once its stream has ended.
 struct PendingRecord {
     team: String,
     chain: Vec<String>,
@@ -30,19 +32,19 @@
     output: Vec<u8>,
 }
 
-/// A turn's part in the request that is sent.
+/// A request with its history and token reservation.
 pub struct PreparedRequest {
-    /// Set when the turn has a budget or is kept.
+    /// Set if the request is a turn with a budget or with a stored history.
     pub turn: Option<OpenTurn>,
-    /// Body to send.
+    /// Body to send, including the history.
     pub body: Bytes,
-    /// Key of its placement.
+    /// Placement key.
     pub placement_key: String,
-    /// Whether the turn begins a program.
+    /// Whether the request is the first turn of a program with a budget.
     pub starts_program: bool,
 }
 
-/// Reads the history of a turn and reserves its tokens; other requests pass unchanged.
+/// Reads the history of a turn and reserves its tokens; leaves other requests unchanged.
 pub async fn prepare(
     node: &Rc<FrontNode>,
     context: &RequestContext,
@@ -88,14 +90,15 @@
     Ok(PreparedRequest { turn: Some(turn), body: prompt, placement_key, starts_program })
 }
 
-/// Returns the key that requests with a common prompt share.
+/// Returns the placement key, which requests with a common prompt share.
 fn placement_key(context: &RequestContext) -> String {
     let program = context.program.as_ref().map(|program| &program.id);
     let affinity = context.affinity.as_ref();
     affinity.or(program).unwrap_or(&context.id).clone()
 }
 
-/// Part of the remaining time that the store may use before a request is refused.
+/// Divisor of the remaining time: a store operation may take half of it, then the request is
+/// refused.
 const STORE_WAIT_DIVISOR: u32 = 2;
 
 async fn with_store_timeout<T>(
@@ -142,7 +145,7 @@
 }
 
 impl OpenTurn {
-    /// Records an event that was handed to the caller.
+    /// Records an event that is sent to the caller.
     pub fn note_event(&mut self, data: &[u8]) {
         self.delivered_events += 1;
         if let Some(pending) = &mut self.pending {
@@ -151,7 +154,8 @@
         }
     }
 
-    /// Keeps a turn whose stream ended whole; returns whether its answer may end.
+    /// Stores a turn whose stream is complete; returns `false` if the store did not accept it in
+    /// time, in which case the answer must not end.
     pub async fn persist(&mut self, deadline: Instant) -> bool {
         let Some(pending) = self.pending.take() else { return true };
         let record = TurnRecord {
