--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -117,12 +117,12 @@
 }
 
 fn spawn_peer_tasks(node: &Rc<FrontNode>, peers: &Rc<Peers>) {
-    let (receiving, receiver) = (Rc::clone(peers), Rc::clone(node));
-    tokio::task::spawn_local(async move { receiving.receive(&receiver).await });
-    let (reporting, reporter) = (Rc::clone(peers), Rc::clone(node));
-    tokio::task::spawn_local(async move { reporting.report(&reporter).await });
-    let (listing, listed) = (Rc::clone(peers), Rc::clone(node));
-    tokio::task::spawn_local(async move { listing.keep_listed(&listed).await });
+    let (task_peers, task_node) = (Rc::clone(peers), Rc::clone(node));
+    tokio::task::spawn_local(async move { task_peers.receive(&task_node).await });
+    let (task_peers, task_node) = (Rc::clone(peers), Rc::clone(node));
+    tokio::task::spawn_local(async move { task_peers.report(&task_node).await });
+    let (task_peers, task_node) = (Rc::clone(peers), Rc::clone(node));
+    tokio::task::spawn_local(async move { task_peers.keep_listed(&task_node).await });
 }
 
 async fn run_housekeeping(node: Rc<FrontNode>) {
--- a/crates/daemon/src/front/process/logs.rs
+++ b/crates/daemon/src/front/process/logs.rs
@@ -28,14 +28,14 @@
     /// Writes as many bytes as standard output accepts without blocking.
     pub fn flush(&self) {
         let stdout = io::stdout();
-        let now = Timespec { tv_sec: 0, tv_nsec: 0 };
+        let zero_timeout = Timespec { tv_sec: 0, tv_nsec: 0 };
         loop {
             let mut buffer = self.0.lock().unwrap_or_else(PoisonError::into_inner);
             if buffer.bytes.is_empty() {
                 return;
             }
-            let mut ready = [PollFd::new(&stdout, PollFlags::OUT)];
-            if !matches!(poll(&mut ready, Some(&now)), Ok(1)) {
+            let mut poll_fds = [PollFd::new(&stdout, PollFlags::OUT)];
+            if !matches!(poll(&mut poll_fds, Some(&zero_timeout)), Ok(1)) {
                 return;
             }
             let bytes = buffer.bytes.make_contiguous();
@@ -55,8 +55,8 @@
             buffer.dropped_lines += 1;
         } else {
             if buffer.dropped_lines > 0 {
-                let note = format!("event=log_lines_dropped count={}\n", buffer.dropped_lines);
-                buffer.bytes.extend(note.as_bytes());
+                let notice = format!("event=log_lines_dropped count={}\n", buffer.dropped_lines);
+                buffer.bytes.extend(notice.as_bytes());
                 buffer.dropped_lines = 0;
             }
             buffer.bytes.extend(line);
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -236,8 +236,8 @@
     ) -> bool {
         let mut delay = PERSIST_RETRY_DELAY_MIN;
         loop {
-            let work = self.turns.keep(turn, Rc::clone(&record));
-            let cause = match tokio::time::timeout_at(deadline.into(), work).await {
+            let write = self.turns.keep(turn, Rc::clone(&record));
+            let cause = match tokio::time::timeout_at(deadline.into(), write).await {
                 Ok(Ok(())) => return true,
                 Ok(Err(error)) => error.to_string(),
                 Err(_) => "the deadline passed".to_owned(),
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -223,10 +223,10 @@
     /// Returns the server that must get the next attempt once the route's limit on the number of
     /// servers is reached; `None` below the limit or when that server takes no requests.
     fn pinned_server(&self) -> Option<&BackendId> {
-        let runs = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
+        let server_count = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
         let last = self.may_have_run_on.last()?;
         let is_listed = self.node.servers.borrow().ready_by_id(last).is_some();
-        (runs >= self.admitted.route.attempts_max && is_listed).then_some(last)
+        (server_count >= self.admitted.route.attempts_max && is_listed).then_some(last)
     }
 
     /// Waits before all servers are tried again; refuses if there are none or if `busy_until`
@@ -313,8 +313,8 @@
     /// Retries or refuses after an attempt that may have run but got no complete answer.
     fn handle_lost_attempt(&mut self, server: &ServerEntry, cause: &str) -> AttemptResult {
         self.note_failure(server, "answer", cause);
-        let runs = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
-        let has_candidate = runs < self.admitted.route.attempts_max
+        let server_count = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
+        let has_candidate = server_count < self.admitted.route.attempts_max
             || self.node.servers.borrow().ready_by_id(&server.id).is_some();
         self.lost_count += 1;
         let has_attempts_left = self.lost_count < LOST_ATTEMPTS_MAX;
