--- a/crates/daemon/src/front/connection/backend.rs
+++ b/crates/daemon/src/front/connection/backend.rs
@@ -1,7 +1,7 @@
 //! Connections to backend servers.
 //!
-//! Built on `hyper`, because the client of `ntex` hides whether a request was written, rejects
-//! bodies that end with the connection and keeps its connections to itself.
+//! Built on `hyper`, because the `ntex` client does not report whether a request was written,
+//! rejects bodies delimited by the end of the connection and does not expose its connections.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,15 +20,16 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Longest wait for a new connection; the ways take a few milliseconds.
+/// Longest wait for a new connection; the network latency is a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Silence of a peer with data under way after which its connection is dead.
+/// Time for which sent data may remain unacknowledged before the connection is closed.
 const TCP_USER_TIMEOUT_MS: u32 = 2_000;
-/// Idle time after which a connection is closed, unless the peer named a shorter one.
+/// Idle time after which a connection is closed, unless the peer announced a shorter one.
 const IDLE_MAX: Duration = Duration::from_secs(4);
-/// Part of the peer's own idle time that is left unused, so that requests do not cross its close.
+/// Margin before the peer's idle timeout, so that no request is sent while the peer closes the
+/// connection.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_200);
-/// Largest answer head and buffer, in bytes.
+/// Largest response head and read buffer, in bytes.
 const READ_BUFFER_MAX_BYTES: usize = 64 * 1024;
 
 /// An open connection; closed when dropped.
@@ -36,9 +37,9 @@
 pub struct BackendConnection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    /// Longest idle time after which the connection may be used again.
+    /// Longest idle time after which the connection may be reused.
     idle_max: Duration,
-    /// Whether an earlier request was sent on it.
+    /// Whether an earlier request was sent on the connection.
     pub is_reused: bool,
 }
 
@@ -51,7 +52,7 @@
 /// Result of sending a request.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The head of an answer arrived.
+    /// The head of the response arrived.
     Answered(Response<Incoming>),
     /// Nothing of the request was written.
     NotSent(String),
@@ -64,7 +65,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the peer refuses or does not answer in time.
+    /// Fails when the peer refuses the connection or does not accept it in time.
     pub async fn open(address: SocketAddr) -> io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
@@ -82,7 +83,7 @@
         Ok(Self { sender, task, idle_max: IDLE_MAX, is_reused: false })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> SendOutcome {
         if let Err(error) = self.sender.ready().await {
             return SendOutcome::NotSent(error.to_string());
@@ -97,13 +98,13 @@
         }
     }
 
-    /// Takes over the idle time that an answer names, in whole seconds.
+    /// Limits the idle time to the peer's `Keep-Alive` timeout in seconds, less a margin.
     pub fn set_keep_alive(&mut self, seconds: u64) {
         self.idle_max = IDLE_MAX.min(Duration::from_secs(seconds)).saturating_sub(IDLE_MARGIN);
     }
 }
 
-/// Returns an error with its cause.
+/// Formats an error with its source.
 fn error_with_source(error: &hyper::Error) -> String {
     use std::error::Error as _;
     match error.source() {
@@ -125,14 +126,14 @@
 }
 
 impl BackendPool {
-    /// Takes the connection used last, if one is sound and was idle for at most `idle_max`.
+    /// Takes the most recently used open connection, if it was idle for at most `idle_max`.
     pub fn take(&self, address: SocketAddr, idle_max: Duration) -> Option<BackendConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
         while let Some(IdleConnection { connection, since }) = connections.pop() {
             let age = since.elapsed();
             if age > connection.idle_max.min(idle_max) {
-                // Those below are older still.
+                // The remaining connections have been idle even longer.
                 if age > connection.idle_max {
                     connections.clear();
                 }
@@ -145,7 +146,7 @@
         None
     }
 
-    /// Keeps a connection whose last answer was read whole.
+    /// Returns a connection to the pool; its last response must have been read completely.
     pub fn put(&self, address: SocketAddr, mut connection: BackendConnection) {
         if connection.sender.is_closed() {
             return;
@@ -160,7 +161,7 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes connections that were idle for too long.
+    /// Removes connections that were idle for too long or were closed.
     pub fn prune(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|idle| {
--- a/crates/daemon/src/front/connection/caller.rs
+++ b/crates/daemon/src/front/connection/caller.rs
@@ -22,23 +22,23 @@
 use crate::front::process::FrontNode;
 use crate::front::request;
 
-/// A whole request of a caller.
+/// A caller's request, read completely.
 #[derive(Debug)]
 pub struct CallerRequest {
-    /// Head as received.
+    /// Request head as received.
     pub head: Request,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
     /// Time at which the head was read.
     pub arrived_at: Instant,
 }
 
-/// Accepts callers until the process ends.
+/// Accepts connections of callers until the process ends.
 pub async fn accept(node: Rc<FrontNode>, listener: TcpListener) {
     listener::accept("callers", listener, |stream| serve(Rc::clone(&node), stream)).await;
 }
 
-/// Serves one connection to its end.
+/// Serves one connection until it is closed.
 async fn serve(node: Rc<FrontNode>, stream: TcpStream) -> io::Result<()> {
     let (io, codec) = listener::open(stream, node.table().limits().header_max_bytes)?;
     let _open = node.caller_connections.enter();
@@ -91,11 +91,11 @@
     node.metrics.count_refusal(refusal.kind);
     log::info!("event=refused kind={} message=\"{refusal}\"", refusal.kind.label());
     let mut responder = Responder::new(io, codec);
-    responder.close_after_answer();
+    responder.close_after_response();
     responder.refuse("", refusal).await
 }
 
-/// Serves one request; returns whether the connection may be used again.
+/// Serves one request; returns whether the connection may be reused.
 async fn serve_request(
     node: &Rc<FrontNode>,
     io: &Io,
@@ -129,7 +129,7 @@
     }
 }
 
-/// Reads a body; one whose declared length is over the limit is not waited for.
+/// Reads a body; fails at once when its declared length exceeds `max_bytes`.
 async fn read_body(
     io: &Io,
     decoder: &PayloadDecoder,
@@ -147,7 +147,7 @@
     listener::read_body(io, decoder, max_bytes).await
 }
 
-/// Serves a request that was read whole; returns whether the connection may be used again.
+/// Serves a completely read request; returns whether the connection may be reused.
 async fn serve_buffered(
     node: &Rc<FrontNode>,
     io: &Io,
@@ -159,7 +159,7 @@
     let request = CallerRequest { head, body, arrived_at };
     let mut responder = Responder::new(io, codec);
     if node.stop.is_stopping() || node.reach.is_isolated() {
-        responder.close_after_answer();
+        responder.close_after_response();
     }
     let is_answered = tokio::select! {
         biased;
@@ -170,14 +170,15 @@
         }
     };
     if !is_answered || !responder.is_complete() {
-        // A reset cannot be taken for the end of an answer.
+        // Resets the connection, so that the caller cannot mistake its end for the end of the
+        // response.
         io.terminate();
         return Ok(false);
     }
     Ok(codec.keepalive() && !node.stop.is_stopping())
 }
 
-/// Completes when the caller closed the connection.
+/// Waits until the caller closes the connection.
 async fn caller_disconnected(io: &Io) {
     poll_fn(|cx| match io.poll_status_update(cx) {
         Poll::Ready(IoStatusUpdate::PeerGone(_)) => Poll::Ready(()),
--- a/crates/daemon/src/front/connection/listener.rs
+++ b/crates/daemon/src/front/connection/listener.rs
@@ -1,4 +1,4 @@
-//! What all listeners of a node share.
+//! Functions shared by all listeners of a node.
 
 use std::io;
 use std::time::Duration;
@@ -14,13 +14,14 @@
 use ntex::util::Either;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a failed accept, which is mostly a lack of descriptors.
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest time for which the rest of a refused body is read, about one round trip of a slow link.
+/// Longest time for which the rest of a refused body is read, about one round trip on a slow
+/// connection.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Accepts connections until the process ends, each served by a task of its own.
+/// Accepts connections until the process ends and serves each in its own task.
 pub async fn accept<S, F>(name: &'static str, listener: TcpListener, serve: S)
 where
     S: Fn(TcpStream) -> F,
@@ -44,11 +45,11 @@
     }
 }
 
-/// Prepares a connection for HTTP/1.1 with heads of at most `head_max_bytes`.
+/// Prepares a connection for HTTP/1.1 with request heads of at most `head_max_bytes`.
 ///
 /// # Errors
 ///
-/// Fails when the connection is gone.
+/// Fails when the connection is closed.
 pub fn open(stream: TcpStream, head_max_bytes: usize) -> io::Result<(Io, Codec)> {
     let http = HttpServiceConfig::new()
         .set_keepalive(KeepAlive::Os)
@@ -61,19 +62,19 @@
 /// Why a body could not be read.
 #[derive(Debug)]
 pub enum BodyError {
-    /// It is over the limit.
+    /// The body exceeds the limit.
     TooLong,
-    /// Its framing is faulty.
+    /// The framing is invalid.
     Malformed(DecodeError),
     /// The connection failed.
     Connection(io::Error),
 }
 
-/// Reads a whole body of at most `max_bytes`.
+/// Reads a complete body of at most `max_bytes`.
 ///
 /// # Errors
 ///
-/// Fails when the body is too long or faulty, or the connection ends before it.
+/// Fails when the body is too long or malformed, or when the connection ends first.
 pub async fn read_body(
     io: &Io,
     decoder: &PayloadDecoder,
@@ -94,20 +95,21 @@
     }
 }
 
-/// Reads and drops what a caller still sends after its refusal: a connection that is closed with
-/// unread bytes is reset, and the caller may lose the answer.
+/// Reads and discards the rest of a refused request's body.
+///
+/// Closing a connection with unread bytes resets it, and the caller may lose the response.
 pub async fn discard_rest(io: &Io, decoder: &PayloadDecoder) {
     let rest = async { while let Ok(Some(PayloadItem::Chunk(_))) = io.recv(decoder).await {} };
-    // A caller that goes on sending beyond that gets the reset.
+    // After the timeout, a caller that is still sending gets the reset.
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, rest).await;
 }
 
-/// Sends a whole answer.
+/// Sends a complete response.
 ///
 /// # Errors
 ///
-/// Fails when the connection is gone.
-pub async fn send_answer(
+/// Fails when the connection is closed.
+pub async fn send_response(
     io: &Io,
     codec: &Codec,
     status: StatusCode,
--- a/crates/daemon/src/front/connection/mod.rs
+++ b/crates/daemon/src/front/connection/mod.rs
@@ -1,4 +1,4 @@
-//! Links to callers, backend servers and the store.
+//! Connections to callers, backend servers, other nodes and the store.
 
 pub mod backend;
 pub mod caller;
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -1,8 +1,9 @@
 //! Datagrams between nodes.
 //!
-//! A report is small, replaces the one before and is worthless once late, so it is sent as a
-//! datagram instead of a call; a lost one is made up for by the next. A request to give back a
-//! claim is answered by a write to the store, and repeated by the node that waits for it.
+//! A report is small, replaces the previous one and is useless when late, so it is sent as a
+//! datagram; the next report makes up for a lost one. A request to release a claim has no response
+//! datagram: the receiver writes the release to the store, and the requesting node repeats the
+//! request while it waits.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,53 +22,57 @@
 
 use crate::front::process::FrontNode;
 
-/// Largest datagram.
+/// Largest datagram that is received.
 const DATAGRAM_MAX_BYTES: usize = 8 * 1024;
-/// Table in which nodes list their addresses.
+/// Table in which nodes register their addresses.
 const NODES_TABLE: &str = "nodes";
-/// Time between two reads of the list, for nodes that were cut off when others started.
+/// Time between two reads of the nodes table.
+///
+/// Repeated reads let a node find others that started while it could not reach the store.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_secs(15);
-/// Time after the first listing in which the others' reports arrive; callers come afterwards.
+/// Time after a read of the nodes table for the other nodes' reports to arrive.
+///
+/// The node becomes ready for callers only after the first such wait.
 const INITIAL_REPORTS_WAIT: Duration = Duration::from_millis(250);
-/// Pause after a failed read or write of the list.
+/// Delay after a failed read or write of the nodes table.
 const MEMBERSHIP_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// What a node sends to another.
+/// Message from one node to another.
 #[derive(Debug, Serialize, Deserialize)]
 enum Message {
     /// State of the sender.
     Report(Report),
-    /// Asks for what the receiver does not use of its claim on a program's budget.
+    /// Asks the receiver to release the unused part of its claim on a program's budget.
     GiveBack {
-        /// Program.
+        /// Identifier of the program.
         program: String,
     },
 }
 
-/// What a node tells the others.
+/// State of a node, sent to the other nodes.
 #[derive(Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Report {
-    /// Differs after a restart.
+    /// Random identifier of the process; differs after a restart.
     incarnation: u64,
-    /// What was admitted since the start, by team.
+    /// Requests and programs admitted since the start of the process, by team.
     admitted: Vec<(TeamHash, Admitted)>,
-    /// Requests under way, by hash of the backend server's identifier.
+    /// Requests in flight, by hash of the backend server's identifier.
     in_flight: Vec<(u32, u32)>,
     /// Hashes of the backend servers that the node avoids because they failed.
     avoided: Vec<u32>,
-    /// Whether the node leaves as planned.
+    /// Whether the node is shutting down gracefully.
     is_leaving: bool,
-    /// Whether the node reaches the platform's store.
+    /// Whether the node reaches the platform's store and has a configuration.
     has_store: bool,
 }
 
-/// The node's socket for reports.
+/// The node's socket for messages to and from other nodes.
 #[derive(Debug)]
 pub struct Peers {
     socket: UdpSocket,
     address: SocketAddr,
     incarnation: u64,
-    /// Incarnations last heard of.
+    /// Incarnation in the last report of each node.
     incarnations: RefCell<HashMap<SocketAddr, u64>>,
 }
 
@@ -125,12 +130,12 @@
         }
     }
 
-    /// Tells the other nodes that this one leaves.
+    /// Announces to the other nodes that this one is leaving.
     pub async fn announce_leaving(&self, node: &FrontNode) {
         self.send_report(node, true).await;
     }
 
-    /// Sends one report to every member; returns their number.
+    /// Sends one report to every member; returns the number of members.
     async fn send_report(&self, node: &FrontNode, is_leaving: bool) -> usize {
         let now = node.clock.monotonic_now();
         let members: Vec<SocketAddr> = {
@@ -163,7 +168,7 @@
         members.len()
     }
 
-    /// Lists this node and learns of the others until the process ends.
+    /// Keeps this node registered and discovers other nodes until the process ends.
     pub async fn maintain_membership(&self, node: &FrontNode) {
         loop {
             match self.refresh_membership(node).await {
@@ -185,7 +190,7 @@
         let (mut rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         if !rows.iter().any(|row| row.key == own) {
             self.write_row(node, &own, 0, Some(node.settings.zone.as_bytes())).await?;
-            // Of two nodes that start together, at least the one that wrote last finds the other.
+            // Of two nodes that start at the same time, at least the later writer finds the other.
             (rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         }
         let now = node.clock.monotonic_now();
--- a/crates/daemon/src/front/connection/reach.rs
+++ b/crates/daemon/src/front/connection/reach.rs
@@ -1,7 +1,8 @@
-//! Ways to the platform's store: the node's own, or through another node.
+//! Failover for calls to the platform's store.
 //!
-//! A node that the store turns away, or that is cut off from it, sends its calls through a node
-//! that reaches it. The answers are the store's own, so they prove freshness like direct ones.
+//! A node whose calls the store refuses, or that cannot connect to the store, sends its calls
+//! through another node that can. Relayed responses come from the store itself, so they prove
+//! freshness in the same way as direct ones.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,29 +20,31 @@
 use super::store::HttpTransport;
 use crate::front::process::{FrontClock, FrontMetrics};
 
-/// Time without an answer after which the store counts as lost; a few failed calls.
+/// Time since the first of consecutive failures after which the store is considered unreachable;
+/// long enough for a few calls.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(500);
-/// Direct calls in a row without an answer after which others are made through another node: a
-/// single one may be turned away because all nodes together call too often.
+/// Consecutive failed direct calls after which a failed call is retried through another node.
+///
+/// A single refusal may only mean that all nodes together exceed the store's rate limit.
 const FAILOVER_AFTER_FAILURES: u32 = 3;
-/// Time between two direct calls while the store is lost.
+/// Time between two direct calls while calls are relayed.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a node knows of the ways to the store.
+/// Whether this node reaches the store, and which other nodes do.
 pub struct StoreReachability {
     clock: FrontClock,
-    /// Time since which the store does not answer this node directly.
+    /// Time of the first failure since the last successful direct call.
     failing_since: Cell<Option<Duration>>,
     consecutive_failures: Cell<u32>,
     probed_at: Cell<Duration>,
-    /// State in the last log line.
+    /// State that was last logged.
     is_logged_unreachable: Cell<bool>,
-    /// Nodes that reach the store, with the times up to which their reports count.
+    /// Nodes that reach the store, with the times at which their reports expire.
     relays: RefCell<HashMap<SocketAddr, Duration>>,
 }
 
 impl StoreReachability {
-    /// Creates a state in which the store counts as reached.
+    /// Creates a state in which the store is considered reachable.
     #[must_use]
     pub fn new(clock: FrontClock) -> Self {
         Self {
@@ -54,7 +57,7 @@
         }
     }
 
-    /// Returns whether the store has not answered this node directly for a while.
+    /// Returns whether direct calls to the store have failed for at least `UNREACHABLE_AFTER`.
     #[must_use]
     pub fn is_unreachable(&self) -> bool {
         let now = self.clock.monotonic_now();
@@ -63,14 +66,15 @@
             .is_some_and(|failing_since| now >= failing_since + UNREACHABLE_AFTER)
     }
 
-    /// Returns whether other nodes reach the store and this one does not: callers are then better
-    /// served there.
+    /// Returns whether other nodes reach the store and this one does not.
+    ///
+    /// Callers are then better served by the other nodes.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         self.is_unreachable() && self.relay().is_some()
     }
 
-    /// Records whether another node reaches the store; its report counts for `valid_for`.
+    /// Records whether another node reaches the store; a positive report expires after `valid_for`.
     pub fn update_relay(&self, member: SocketAddr, has_store: bool, valid_for: Duration) {
         let mut relays = self.relays.borrow_mut();
         if has_store {
@@ -80,7 +84,7 @@
         }
     }
 
-    /// Records whether the store answered a direct call.
+    /// Records whether a direct call succeeded.
     fn record_direct_call(&self, is_answered: bool) {
         if is_answered {
             self.failing_since.set(None);
@@ -98,12 +102,12 @@
         }
     }
 
-    /// Returns whether a call that failed directly should be made through another node.
+    /// Returns whether a failed direct call should be retried through another node.
     fn should_fail_over(&self) -> bool {
         self.consecutive_failures.get() >= FAILOVER_AFTER_FAILURES
     }
 
-    /// Returns whether the next call goes directly.
+    /// Returns whether the next call should be sent to the store directly, and records the attempt.
     fn should_try_direct(&self) -> bool {
         let now = self.clock.monotonic_now();
         let is_due = now >= self.probed_at.get() + PROBE_INTERVAL;
@@ -114,7 +118,7 @@
         false
     }
 
-    /// Returns a node that reached the store when it last reported.
+    /// Returns a random node whose last report said that it reaches the store.
     fn relay(&self) -> Option<SocketAddr> {
         let now = self.clock.monotonic_now();
         let relays = self.relays.borrow();
@@ -123,7 +127,7 @@
     }
 }
 
-/// Transport that goes through another node when the store does not answer directly.
+/// Transport that fails over to another node when direct calls to the store fail.
 pub struct FailoverTransport {
     direct: Rc<HttpTransport>,
     reach: Rc<StoreReachability>,
@@ -132,7 +136,7 @@
 }
 
 impl FailoverTransport {
-    /// Creates a transport over `direct` with the ways known to `reach`.
+    /// Creates a transport that uses `direct` and, when it fails, the nodes known to `reach`.
     #[must_use]
     pub fn new(
         direct: Rc<HttpTransport>,
@@ -172,7 +176,7 @@
                 Err(_) => true,
             };
             self.reach.record_direct_call(!is_failed);
-            // A write that may have taken effect must not be made once more from here.
+            // A write that may have taken effect must not be sent again.
             let may_have_written = request.method != Method::GET
                 && matches!(result, Err(RowStoreError::AnswerLost { .. }));
             if !is_failed || may_have_written || !self.reach.should_fail_over() {
--- a/crates/daemon/src/front/connection/relay_server.rs
+++ b/crates/daemon/src/front/connection/relay_server.rs
@@ -1,6 +1,6 @@
-//! Store calls made for other nodes.
+//! Relay for other nodes' calls to the store.
 //!
-//! Other nodes send their calls as they would to the store, so that both ways share one client.
+//! The relay accepts the same requests as the store, so that nodes use one client for both.
 
 use std::io;
 use std::rc::Rc;
@@ -17,15 +17,15 @@
 use super::store::HttpTransport;
 use crate::consts::JSON;
 
-/// Status that says that a call may have taken effect.
+/// Status of a response to a call that may have taken effect although its answer was lost.
 pub const ANSWER_LOST_STATUS: u16 = 504;
-/// Largest head of a call.
+/// Largest request head.
 const HEAD_MAX_BYTES: usize = 8 * 1024;
-/// Largest body of a call, above the store's own limit.
+/// Largest request body, above the store's own limit.
 const BODY_MAX_BYTES: usize = 2 * 1024 * 1024;
-/// Longest wait for the store's answer; the node that asks waits less.
+/// Longest wait for the store's response; the calling node has a shorter timeout.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time for which the store may keep a call waiting for a change.
+/// Longest time for which the store may hold a call until a change occurs.
 const FEED_WAIT: Duration = Duration::from_secs(2);
 
 /// Serves other nodes until the process ends.
@@ -45,7 +45,7 @@
         let Ok(body) = body else { break };
         let reply = call(&direct, &head, body).await;
         let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY);
-        listener::send_answer(&io, &codec, status, JSON, &reply.body).await?;
+        listener::send_response(&io, &codec, status, JSON, &reply.body).await?;
     }
     io.shutdown().await
 }
--- a/crates/daemon/src/front/connection/responder.rs
+++ b/crates/daemon/src/front/connection/responder.rs
@@ -1,4 +1,4 @@
-//! Answers to one caller.
+//! Responses to callers.
 
 use std::fmt::Write as _;
 use std::io;
@@ -18,16 +18,16 @@
 use crate::consts::JSON;
 use crate::request::answer::refusal_json;
 
-/// Length of an answer's body.
+/// Length of a response body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyLength {
-    /// Known beforehand, in bytes.
+    /// Known in advance, in bytes.
     Known(u64),
-    /// Sent in chunks; an end without the last chunk shows as incomplete.
+    /// Sent in chunks; a missing last chunk shows the caller that the body is incomplete.
     Chunked,
 }
 
-/// Writes one answer on a caller's connection.
+/// Writes one response to a caller's connection.
 pub struct Responder<'a> {
     io: &'a Io,
     codec: &'a Codec,
@@ -37,34 +37,34 @@
 }
 
 impl<'a> Responder<'a> {
-    /// Creates a responder for the request last read from `io`.
+    /// Creates a responder to the request that was last read from `io`.
     #[must_use]
     pub fn new(io: &'a Io, codec: &'a Codec) -> Self {
         Self { io, codec, is_head_sent: false, is_complete: false, closes: false }
     }
 
-    /// Ends the connection after this answer.
-    pub fn close_after_answer(&mut self) {
+    /// Closes the connection after this response.
+    pub fn close_after_response(&mut self) {
         self.closes = true;
     }
 
-    /// Returns whether the head of an answer was sent.
+    /// Returns whether the response head was sent.
     #[must_use]
     pub fn is_head_sent(&self) -> bool {
         self.is_head_sent
     }
 
-    /// Returns whether a whole answer was sent.
+    /// Returns whether the complete response was sent.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Sends the head of a backend server's answer.
+    /// Sends the head of a backend server's response.
     ///
     /// # Errors
     ///
-    /// Fails when the answer cannot be encoded.
+    /// Fails when the head cannot be encoded.
     pub fn send_head(
         &mut self,
         status: StatusCode,
@@ -97,11 +97,11 @@
         self.io.encode(Message::Item((response, size)), self.codec).map_err(io::Error::other)
     }
 
-    /// Sends a part of the body and waits while the caller reads too slowly.
+    /// Sends a chunk of the body; waits for space in the write buffer when the caller reads slowly.
     ///
     /// # Errors
     ///
-    /// Fails when the connection is gone.
+    /// Fails when the connection is closed.
     pub async fn send_chunk(&mut self, bytes: Bytes) -> io::Result<()> {
         if bytes.is_empty() {
             return Ok(());
@@ -115,18 +115,18 @@
     ///
     /// # Errors
     ///
-    /// Fails when the connection is gone.
+    /// Fails when the connection is closed.
     pub async fn finish(&mut self) -> io::Result<()> {
         self.io.encode(Message::Chunk(None), self.codec).map_err(io::Error::other)?;
         self.is_complete = true;
         self.io.flush(false).await
     }
 
-    /// Sends a refusal as a whole answer.
+    /// Sends a refusal as a complete response.
     ///
     /// # Errors
     ///
-    /// Fails when the connection is gone.
+    /// Fails when the connection is closed.
     pub async fn refuse(&mut self, request_id: &str, refusal: &Refusal) -> io::Result<()> {
         let status = StatusCode::from_u16(refusal.kind.http_status());
         let mut response =
@@ -148,7 +148,7 @@
     }
 }
 
-/// Returns a duration in seconds with a fraction.
+/// Formats a duration as seconds with three decimals.
 fn seconds(duration: Duration) -> String {
     let mut text = String::new();
     let _ = write!(text, "{:.3}", duration.as_secs_f64());
--- a/crates/daemon/src/front/connection/status.rs
+++ b/crates/daemon/src/front/connection/status.rs
@@ -1,4 +1,4 @@
-//! The listeners for readiness and metrics.
+//! Listeners for readiness checks and metrics.
 
 use std::io;
 use std::rc::Rc;
@@ -11,12 +11,12 @@
 use super::listener;
 use crate::front::process::FrontNode;
 
-/// Path of the metrics.
+/// Path at which the metrics are served.
 const METRICS_PATH: &str = "/metrics";
-/// Largest head of a request.
+/// Largest request head.
 const HEAD_MAX_BYTES: usize = 8 * 1024;
 
-/// Serves readiness and metrics until the process ends.
+/// Serves readiness checks and metrics until the process ends.
 pub async fn accept(node: Rc<FrontNode>, listener: TcpListener) {
     listener::accept("status", listener, |stream| serve(Rc::clone(&node), stream)).await;
 }
@@ -28,7 +28,7 @@
             break;
         }
         let (status, body) = answer(&node, request.path());
-        listener::send_answer(&io, &codec, status, "text/plain", &body).await?;
+        listener::send_response(&io, &codec, status, "text/plain", &body).await?;
     }
     io.shutdown().await
 }
--- a/crates/daemon/src/front/connection/store.rs
+++ b/crates/daemon/src/front/connection/store.rs
@@ -1,4 +1,4 @@
-//! Transport to the platform's metadata store.
+//! HTTP transport to the platform's metadata store.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -17,24 +17,24 @@
 use crate::consts::JSON;
 use crate::front::process::metrics::FrontMetrics;
 
-/// Longest idle time after which a connection is used again.
+/// Longest idle time after which a connection is reused.
 const REUSE_IDLE_MAX: Duration = Duration::from_secs(3);
 
-/// Shortest wait for an answer, several times what the store takes in calm.
-const ANSWER_TIMEOUT_MIN: Duration = Duration::from_millis(120);
-/// Multiple of the time that answers take at which one counts as lost.
-const ANSWER_TIMEOUT_FACTOR: u32 = 5;
-/// Weight of the newest answer in the time that answers take, as a divisor.
-const ANSWER_TIMEOUT_DECAY: u32 = 4;
+/// Shortest response timeout, several times the store's response time under low load.
+const RESPONSE_TIMEOUT_MIN: Duration = Duration::from_millis(120);
+/// Response timeout as a multiple of the measured response time.
+const RESPONSE_TIMEOUT_FACTOR: u32 = 5;
+/// Part of the gap to its target, as a divisor, by which one response lowers the timeout.
+const RESPONSE_TIMEOUT_DECAY: u32 = 4;
 
-/// HTTP transport with a pool of its own.
+/// HTTP transport with its own connection pool.
 pub struct HttpTransport {
     address: SocketAddr,
     pool: BackendPool,
     metrics: Rc<FrontMetrics>,
-    answer_timeout: Cell<Duration>,
-    /// Whether the last call got no answer.
-    is_last_answer_lost: Cell<bool>,
+    response_timeout: Cell<Duration>,
+    /// Whether a call has timed out since the last measured response.
+    is_last_response_lost: Cell<bool>,
 }
 
 impl HttpTransport {
@@ -45,8 +45,8 @@
             address,
             pool: BackendPool::default(),
             metrics,
-            answer_timeout: Cell::new(ANSWER_TIMEOUT_MIN),
-            is_last_answer_lost: Cell::new(false),
+            response_timeout: Cell::new(RESPONSE_TIMEOUT_MIN),
+            is_last_response_lost: Cell::new(false),
         }
     }
 
@@ -61,7 +61,8 @@
             let was_reused = connection.is_reused;
             let response = match connection.send(self.encode(request)?).await {
                 SendOutcome::Answered(response) => response,
-                // An idle connection that was closed says nothing about the store.
+                // The peer may have closed an idle connection; this does not mean that the store
+                // is unreachable.
                 SendOutcome::NotSent(_) if was_reused => continue,
                 SendOutcome::NotSent(detail) => return Err(RowStoreError::Unreachable { detail }),
                 SendOutcome::Lost(_) if was_reused && request.method == Method::GET => continue,
@@ -77,26 +78,29 @@
         }
     }
 
-    /// Doubles the patience when calls in a row got no answer: a single lost answer says nothing
-    /// of the store's pace.
-    fn record_lost_answer(&self, time_limit: Duration) {
-        if self.is_last_answer_lost.replace(true) {
-            self.answer_timeout.set((self.answer_timeout.get() * 2).min(time_limit));
+    /// Doubles the response timeout, up to `max`, when consecutive calls time out.
+    ///
+    /// A single lost response does not show that the store has become slower.
+    fn record_lost_response(&self, max: Duration) {
+        if self.is_last_response_lost.replace(true) {
+            self.response_timeout.set((self.response_timeout.get() * 2).min(max));
         }
     }
 
-    /// Adapts the patience to the time that an answer took.
-    fn record_answer_time(&self, taken: Duration) {
-        self.is_last_answer_lost.set(false);
-        let target = (taken * ANSWER_TIMEOUT_FACTOR).max(ANSWER_TIMEOUT_MIN);
-        let answer_timeout = self.answer_timeout.get();
-        let next = if target > answer_timeout {
+    /// Adapts the response timeout to a measured response time.
+    ///
+    /// The timeout rises at once and falls gradually.
+    fn record_response_time(&self, taken: Duration) {
+        self.is_last_response_lost.set(false);
+        let target = (taken * RESPONSE_TIMEOUT_FACTOR).max(RESPONSE_TIMEOUT_MIN);
+        let response_timeout = self.response_timeout.get();
+        let next = if target > response_timeout {
             target
         } else {
-            answer_timeout
-                .saturating_sub(answer_timeout.saturating_sub(target) / ANSWER_TIMEOUT_DECAY)
+            response_timeout
+                .saturating_sub(response_timeout.saturating_sub(target) / RESPONSE_TIMEOUT_DECAY)
         };
-        self.answer_timeout.set(next);
+        self.response_timeout.set(next);
     }
 
     fn encode(&self, request: &StoreRequest) -> Result<Request<Full<Bytes>>, RowStoreError> {
@@ -110,7 +114,7 @@
     }
 }
 
-/// Returns the operation that a path names, without its query.
+/// Returns the last segment of a path without its query, which names the operation.
 fn operation(path: &str) -> &str {
     let path = path.split('?').next().unwrap_or_default();
     path.rsplit('/').next().unwrap_or_default()
@@ -121,9 +125,9 @@
     async fn call(&self, request: StoreRequest) -> Result<StoreReply, RowStoreError> {
         let began_at = Instant::now();
         self.metrics.store_calls.with_label_values(&[operation(&request.path)]).inc();
-        let time_limit = request.wait + self.answer_timeout.get().min(request.timeout);
+        let time_limit = request.wait + self.response_timeout.get().min(request.timeout);
         let result = timeout(time_limit, self.exchange(&request)).await.unwrap_or_else(|_| {
-            self.record_lost_answer(request.timeout);
+            self.record_lost_response(request.timeout);
             let detail = format!("no answer within {} ms", time_limit.as_millis());
             Err(RowStoreError::AnswerLost { detail })
         });
@@ -131,7 +135,7 @@
         if request.wait.is_zero() {
             self.metrics.store_seconds.observe(taken.as_secs_f64());
             if result.is_ok() {
-                self.record_answer_time(taken);
+                self.record_response_time(taken);
             }
         }
         if let Err(error) = &result {
--- a/crates/daemon/src/front/version/follow.rs
+++ b/crates/daemon/src/front/version/follow.rs
@@ -1,4 +1,4 @@
-//! Following the operator's configuration and the list of backend servers.
+//! Tasks that follow changes of the operator's configuration and of the backend server list.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,26 +12,28 @@
 
 use crate::front::process::FrontNode;
 
-/// Longest wait of one call for a new configuration; each answer also proves freshness.
+/// Longest time for which the store may hold one call until a new configuration is published;
+/// each response also proves freshness.
 const CONFIG_POLL_WAIT: Duration = Duration::from_secs(1);
-/// Time between two reads of the changes to the list of backend servers, a third of the time
-/// within which a draining server must get no more requests.
+/// Time between two reads of changes to the backend server list, a third of the time after which
+/// a draining server must no longer get requests.
 const SERVERS_POLL_INTERVAL: Duration = Duration::from_millis(600);
-/// Shortest and longest pause after a failed call.
+/// Range of the random delay after a failed call, in milliseconds.
 const RETRY_DELAY_MS: std::ops::Range<u64> = 50..250;
 
-/// Progress of following one table.
+/// Position in the changes of one table.
 #[derive(Debug, Default)]
 struct Cursor {
-    /// Version to continue from; `None` before the first whole read and after lost history.
+    /// Version to continue from; `None` until the whole table has been read, and again after the
+    /// store has dropped the changes.
     version: Option<u64>,
-    /// Newest version seen; older answers are stale.
+    /// Newest version seen; responses with an older one are stale.
     newest: u64,
     is_failing: bool,
 }
 
 impl Cursor {
-    /// Records an answer; returns whether it is no older than earlier ones.
+    /// Advances to the version of a response; returns `false` if the response is stale.
     fn advance(&mut self, version: u64) -> bool {
         if version < self.newest {
             return false;
@@ -42,7 +44,7 @@
     }
 }
 
-/// Changes of a table, or all of its rows.
+/// All rows of a table, or the changes since an earlier read.
 enum Update {
     Snapshot(Vec<RowChange>),
     Changes(Vec<RowChange>),
@@ -53,7 +55,7 @@
     let mut cursor = Cursor::default();
     loop {
         let requested_at = node.clock.boot_now();
-        // After a failure the first answer is due at once, for its proof of freshness.
+        // After a failure the call must return at once, because its response proves freshness.
         let wait = if cursor.is_failing { Duration::ZERO } else { CONFIG_POLL_WAIT };
         match read(&node, &mut cursor, OPERATOR_TABLE, wait).await {
             Ok(Some(Update::Snapshot(rows) | Update::Changes(rows))) => {
@@ -132,7 +134,7 @@
     }
 }
 
-/// Decodes an entry; `None` when it was removed or names no backend server.
+/// Decodes a backend server's entry; returns `None` when it was removed or is malformed.
 fn decode_server(row: &RowChange) -> Option<ServerEntry> {
     let value = row.value.as_ref()?;
     match servers::decode(&row.key, value) {
@@ -148,7 +150,9 @@
     }
 }
 
-/// Reads what is new; `None` when the answer is older than an earlier one.
+/// Reads new rows, or returns `None` when the response is stale.
+///
+/// Logs when calls start to fail and when they succeed again.
 async fn read(
     node: &FrontNode,
     cursor: &mut Cursor,
@@ -198,8 +202,8 @@
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
 }
 
-/// Replaces the routing table by a newer one.
 impl FrontNode {
+    /// Replaces the routing table by a newer one.
     fn adopt_table(&self, table: RoutingTable) {
         self.metrics.config_version.set(i64::try_from(table.version()).unwrap_or(i64::MAX));
         self.replace_table(Rc::new(table));
--- a/crates/daemon/src/front/version/mod.rs
+++ b/crates/daemon/src/front/version/mod.rs
@@ -1,3 +1,3 @@
-//! What holds for one configuration version, and the list of backend servers.
+//! Updates of the configuration and of the list of backend servers.
 
 pub mod follow;
