--- a/crates/coordination/src/journal.rs
+++ b/crates/coordination/src/journal.rs
@@ -1,4 +1,4 @@
-//! Group-committed journal: one row per commit, one commit in flight per node.
+//! Journal with group commit: one row per commit, at most one commit in flight per node.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -23,23 +23,23 @@
 /// Number of a commit within its incarnation, from 1.
 pub type CommitNumber = u64;
 
-/// One journal row.
+/// Records committed together, stored as one journal row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Commit {
     /// Records in order.
     pub entries: Vec<Entry>,
 }
 
-/// Bounds of the journal.
+/// Settings of the journal.
 #[derive(Debug, Clone)]
 pub struct JournalSettings {
-    /// Shortest time between the starts of two commits.
+    /// Minimum time between the starts of two commits.
     pub commit_interval: Duration,
-    /// Pause after a failed commit.
+    /// Delay before a failed platform request is retried.
     pub retry_pause: Duration,
-    /// Bodies above this size go to the object store.
+    /// Bodies larger than this are stored in the object store.
     pub inline_max_bytes: usize,
-    /// Most records in one commit.
+    /// Maximum number of records in one commit; a larger append is still committed alone.
     pub entries_max: usize,
 }
 
@@ -57,7 +57,7 @@
 /// Why records were not committed.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum JournalError {
-    /// Another node has taken over; nothing more can be committed.
+    /// The node was fenced and can no longer commit.
     #[snafu(display("the node was fenced; repeat the request at another node"))]
     Fenced,
 }
@@ -69,7 +69,7 @@
     pub commits: u64,
     /// Records in those commits.
     pub records: u64,
-    /// Commits tried again because the platform failed or its answer was lost.
+    /// Retries after the platform failed or its answer was lost.
     pub retries: u64,
     /// Time spent in commits that took effect.
     pub commit_time: Duration,
@@ -80,10 +80,10 @@
     done: oneshot::Sender<Result<(), JournalError>>,
 }
 
-/// Completes when the appended records are committed, or never can be.
+/// Completes when the appended records are committed or can no longer be committed.
 pub type CommitTicket = oneshot::Receiver<Result<(), JournalError>>;
 
-/// The node's journal.
+/// The journal of one incarnation of a node.
 pub struct Journal {
     platform: Platform,
     clock: Rc<dyn Clock>,
@@ -101,10 +101,10 @@
     observer: RefCell<Option<CommitObserver>>,
 }
 
-/// Learns the duration of each commit that took effect.
+/// Called with the duration of each successful commit.
 pub type CommitObserver = Box<dyn Fn(Duration)>;
 
-/// Receives committed records, in order and exactly once, before anyone learns of the commit.
+/// Receives committed records in order and exactly once, before their [`CommitTicket`]s complete.
 pub trait CommitApplier {
     /// Applies the records of one commit.
     fn apply_commit(&self, commit: &Commit);
@@ -142,7 +142,7 @@
         *self.applier.borrow_mut() = Some(applier);
     }
 
-    /// Sets who learns the duration of commits.
+    /// Sets the observer of commit durations.
     pub fn set_observer(&self, observer: CommitObserver) {
         *self.observer.borrow_mut() = Some(observer);
     }
@@ -165,13 +165,13 @@
         self.stats.get()
     }
 
-    /// Returns whether the commit under way has met a failure of the platform.
+    /// Returns whether the commit in flight is being retried after a platform failure.
     #[must_use]
     pub fn is_stalled(&self) -> bool {
         self.stalled.get()
     }
 
-    /// Queues records for the next commit; they stay together and in order.
+    /// Queues records and requests a commit; they are committed together and in order.
     pub fn append(&self, entries: Vec<Entry>) -> CommitTicket {
         let (done, ticket) = oneshot::channel();
         if self.incarnation.is_fenced() {
@@ -183,7 +183,8 @@
         ticket
     }
 
-    /// Queues records that may wait for the next commit of others or for a flush.
+    /// Queues records without requesting a commit; the next [`Journal::append`] or
+    /// [`Journal::flush`] commits them.
     pub fn append_lazily(&self, entries: Vec<Entry>) {
         let (done, _) = oneshot::channel();
         if !self.incarnation.is_fenced() && !entries.is_empty() {
@@ -191,7 +192,8 @@
         }
     }
 
-    /// Sets the shortest time between the starts of two commits; settings may ask for a longer one.
+    /// Sets the minimum time between the starts of two commits; a longer time in the settings
+    /// takes precedence.
     pub fn set_min_commit_interval(&self, min_commit_interval: Duration) {
         self.min_commit_interval.set(min_commit_interval);
     }
@@ -201,7 +203,7 @@
         if self.pending.borrow().is_empty() && !self.in_flight.get() {
             return;
         }
-        // Batches keep the order of arrival, so an empty entry marks the end of what came before.
+        // Appends are committed in order, so an empty append completes after all earlier ones.
         let _ = self.append(Vec::new()).await;
     }
 
@@ -216,7 +218,7 @@
             if batch.is_empty() {
                 continue;
             }
-            // What was left out of a full batch goes into the next commit.
+            // Appends that did not fit into the batch go into the next commit.
             self.commit_requested.set(!self.pending.borrow().is_empty());
             self.in_flight.set(true);
             let started = self.clock.monotonic();
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Fails everything that is still queued, after the node was fenced.
+    /// Fails all queued appends with [`JournalError::Fenced`].
     pub fn fail_pending(&self) {
         for item in self.pending.borrow_mut().drain(..) {
             let _ = item.done.send(Err(JournalError::Fenced));
@@ -310,7 +312,9 @@
         Ok(commit)
     }
 
-    /// Resolves a conflict: an earlier try took effect, the own row moved, or the node is fenced.
+    /// Resolves a conflict; returns whether an earlier attempt of the commit took effect.
+    ///
+    /// Otherwise the node's own row has a new version, or the node was fenced.
     async fn is_committed(
         &self,
         key: &str,
@@ -352,7 +356,7 @@
         Ok(())
     }
 
-    /// Moves large bodies of one commit into one object.
+    /// Moves the large bodies of a commit into one object.
     async fn spill(&self, number: CommitNumber, entries: &mut [Entry]) -> Result<(), JournalError> {
         let key = format!("bodies/{}/{number:012}", self.incarnation.id());
         let mut bytes = Vec::new();
@@ -395,7 +399,7 @@
     format!("{incarnation}/{number:012}")
 }
 
-/// Reads the commits of `incarnation` from `first` on, in order.
+/// Reads the commits of `incarnation` in order, starting with number `first`.
 ///
 /// # Errors
 ///
@@ -423,7 +427,7 @@
     Ok((number, commit))
 }
 
-/// Reads a body from wherever it is kept.
+/// Returns a stored body, reading it from the object store if it is not inline.
 ///
 /// # Errors
 ///
@@ -441,7 +445,7 @@
     })
 }
 
-/// Returns the Unix time in milliseconds as `clock` reports it.
+/// Returns the current Unix time of `clock` in milliseconds.
 #[must_use]
 pub fn unix_ms(clock: &dyn Clock) -> u64 {
     millis(clock.unix())
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts: what is recorded of them and what their callers get.
+//! Records the ends of attempts and reports the outcomes to their callers.
 
 use futures_util::future::{Either, select};
 
@@ -11,7 +11,9 @@
 use crate::refusal::Refusal;
 
 impl Owner {
-    /// Records the end of an attempt and closes its feed; `on_recorded` runs in between.
+    /// Records the end of an attempt, calls `on_recorded`, and closes the feed.
+    ///
+    /// `on_recorded` is not called when there is nothing to record or the commit times out.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
@@ -33,7 +35,7 @@
         self.clear_running(&ticket.program);
     }
 
-    /// Commits the end of an attempt and closes its feed, at the latest when the wait is over.
+    /// Commits the end of an attempt and closes its feed, at the latest after `end_commit_wait`.
     async fn record_end(
         &self,
         ticket: &CallTicket,
@@ -49,8 +51,8 @@
                 ticket.feed.close(committed.and(outcome));
             }
             Either::Right(((), commit)) => {
-                // The call stays live until the commit, so that a repeat gets this answer at once
-                // and the recorded one later.
+                // The call stays marked as running until the commit, so that a retry gets this
+                // refusal at once and the recorded answer later.
                 ticket.feed.close(Err(unrecorded_end(outcome)));
                 let _ = commit.await;
             }
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -1,4 +1,4 @@
-//! Owner side of programs: admits calls in order, records them, and settles their outcomes.
+//! Owner of programs: admits calls in order and records their starts and outcomes.
 
 mod finish;
 mod refusals;
@@ -33,6 +33,7 @@
     }
 }
 
+/// Next step of an admission; a wait ends when the program changes or at the given time.
 enum Step {
     Run { attempt: u32 },
     Recorded(StoredAnswer),
@@ -55,13 +56,13 @@
         Self { journal, clock, settings, table: ProgramTable::default() }
     }
 
-    /// Returns the number of programs held.
+    /// Returns the number of programs in memory.
     #[must_use]
     pub fn program_count(&self) -> usize {
         self.table.len()
     }
 
-    /// Returns the recorded state of a program of `team`.
+    /// Returns the recorded state of a program, which must belong to `team` if one is given.
     #[must_use]
     pub fn program(&self, id: &str, team: Option<&str>) -> Option<Program> {
         self.table.with(id, |slot| {
@@ -74,7 +75,8 @@
     ///
     /// # Errors
     ///
-    /// Refuses when the parent is not an open program of the team or the node was fenced.
+    /// Refuses when the parent is not an open program of the team, the journal is stalled, or the
+    /// node was fenced.
     pub async fn open(&self, id: ProgramId, spec: ProgramSpec) -> Result<(), Refusal> {
         if let Some(parent) = &spec.parent {
             let parent =
@@ -90,13 +92,14 @@
         self.commit(self.append(&id, vec![record])).await
     }
 
-    /// Ends a program and its sub-agents and waits until that is recorded.
+    /// Ends a program and its sub-agents and waits until this is recorded.
     ///
     /// Returns the ids of all programs that ended.
     ///
     /// # Errors
     ///
-    /// Refuses when the program is not one of the team's or the node was fenced.
+    /// Refuses when the program does not belong to the team, the journal is stalled, or the node
+    /// was fenced.
     pub async fn close(
         &self,
         id: &str,
@@ -125,28 +128,30 @@
         self.table.unreleased()
     }
 
-    /// Notes that backend servers without a recorded answer may hold memory for a program.
+    /// Marks that backend servers without a recorded answer may hold memory for a program.
     pub fn mark_unrecorded_backends(&self, program: &str) {
         self.table.update(program, |slot| slot.has_unrecorded_backends = true);
     }
 
-    /// Records that no engine holds memory for these programs any more.
+    /// Records that engines no longer hold memory for these programs.
     pub fn mark_released(&self, programs: &[ProgramId]) {
         let entries = programs.iter().filter_map(|program| entry(program, Record::Released));
         self.journal.append_lazily(entries.collect());
     }
 
-    /// Returns open programs without a call since `before`, a monotonic time.
+    /// Returns open programs that have had no call since `before`, a monotonic time.
     #[must_use]
     pub fn idle_since(&self, before: Duration) -> Vec<ProgramId> {
         self.table.idle_since(before)
     }
 
-    /// Admits a call: waits for its turn, reserves budget, and records its start where needed.
+    /// Admits a call: waits for its predecessor, reserves budget, and records the start if needed.
+    ///
+    /// The start is recorded if the call is not repeatable or a budget applies to it.
     ///
     /// # Errors
     ///
-    /// Refuses calls out of order, over budget, in doubt, or of unknown programs.
+    /// Refuses a call that is out of order, over budget or in doubt, or whose program is unknown.
     pub async fn admit(&self, request: &CallRequest) -> Result<Admission, Refusal> {
         let digest = request.digest();
         let deadline = self.clock.monotonic() + self.settings.order_wait;
@@ -160,7 +165,7 @@
         }
     }
 
-    /// Returns the programs of a shard, for a checkpoint or a release.
+    /// Returns the programs of a shard, for its checkpoint.
     #[must_use]
     pub fn programs_in_shard(&self, shard: ShardId) -> Vec<Program> {
         self.table.programs_in_shard(shard)
@@ -172,7 +177,11 @@
         self.table.has_running_calls(shard)
     }
 
-    /// Takes over recovered programs; attempts without a recorded end become in doubt or failed.
+    /// Inserts recovered programs and records the attempts whose end is not recorded.
+    ///
+    /// Such an attempt is recorded as failed if it is repeatable and as in doubt otherwise. Its
+    /// program starts no call for one dispatch window, in which the previous owner may still send
+    /// the attempt.
     pub fn insert_recovered(&self, programs: Vec<Program>) {
         let blocked_until = self.clock.monotonic() + self.settings.dispatch_window;
         let mut entries = Vec::new();
@@ -192,12 +201,12 @@
         }
     }
 
-    /// Forgets the programs of a shard that this node no longer owns.
+    /// Removes the programs of a shard that this node no longer owns.
     pub fn remove_shard(&self, shard: ShardId) {
         self.table.remove_shard(shard);
     }
 
-    /// Drops programs that ended before `closed_before_unix_ms`.
+    /// Removes released programs that ended before `closed_before_unix_ms`.
     pub fn expire(&self, closed_before_unix_ms: u64) {
         self.table.expire(closed_before_unix_ms);
     }
@@ -305,14 +314,16 @@
             Either::Left(_) => Refusal::not_owner(),
             Either::Right(_) => platform_unavailable(),
         };
-        // The call stays running, so that a repeat cannot run before the cancellation is committed.
+        // The call stays marked as running, so that a retry cannot start before the cancellation
+        // is committed.
         let cancelled = Record::Cancelled { call: ticket.key.clone() };
         drop(self.append(&ticket.program, vec![cancelled]));
         ticket.feed.close(Err(refusal.clone()));
         Err(refusal)
     }
 
-    /// Creates the implicit program of a single call, to be recorded with the call's first record.
+    /// Creates the implicit program of a single call; its opening is committed with the call's
+    /// first record.
     fn ensure_single_call_program(&self, request: &CallRequest) {
         if !request.single || self.table.contains(&request.program) {
             return;
@@ -336,7 +347,7 @@
         }
     }
 
-    /// Checks every budget from the program up to its root; returns whether there is any.
+    /// Checks the budgets of the program and its ancestors; returns whether there is any.
     fn check_budget(&self, id: &str, tokens: u64) -> Result<bool, Refusal> {
         let mut has_budget = false;
         let mut current = Some(id.to_owned());
--- a/crates/coordination/src/owner/refusals.rs
+++ b/crates/coordination/src/owner/refusals.rs
@@ -1,9 +1,9 @@
-//! Refusals that an owner gives.
+//! Refusals returned by an owner.
 
 use crate::call::Answer;
 use crate::refusal::{Refusal, RefusalKind, RunState};
 
-/// Creates the refusal of a call that a budget does not cover.
+/// Creates the refusal of a call that may exceed the remaining budget of `program`.
 pub(super) fn budget_exhausted(program: &str, remaining: u64, needed: u64) -> Refusal {
     Refusal::not_run(
         RefusalKind::BudgetExhausted,
@@ -14,7 +14,7 @@
     )
 }
 
-/// Creates the refusal of an attempt whose end cannot be recorded now.
+/// Creates the refusal for an attempt whose end could not be recorded in time.
 pub(super) fn unrecorded_end(outcome: Result<Answer, Refusal>) -> Refusal {
     let run = match outcome {
         Ok(_) => RunState::Ran,
@@ -25,7 +25,7 @@
     Refusal { run, ..Refusal::not_run(RefusalKind::PlatformUnavailable, message) }
 }
 
-/// Creates the refusal of a call that cannot be recorded before it starts.
+/// Creates the refusal of a request that cannot be recorded now.
 pub(super) fn platform_unavailable() -> Refusal {
     Refusal::not_run(
         RefusalKind::PlatformUnavailable,
--- a/crates/coordination/src/owner/table.rs
+++ b/crates/coordination/src/owner/table.rs
@@ -1,4 +1,4 @@
-//! Programs held by an owner, with what is running and what is not recorded yet.
+//! In-memory table of the owned programs, their running calls, and state not yet recorded.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 /// A running call.
 #[derive(Debug)]
 pub(super) struct RunningCall {
-    /// Call and attempt.
+    /// Identity of the call and the attempt.
     pub key: CallKey,
     /// Output of the call.
     pub feed: Arc<CallFeed>,
@@ -30,28 +30,28 @@
 pub(super) struct Slot {
     /// Recorded state.
     pub program: Program,
-    /// Call that runs now.
+    /// Call in flight; at most one per program.
     pub running: Option<RunningCall>,
-    /// Notified at each change.
+    /// Notified of each committed record and of the end of the running call.
     pub changed: Rc<Notify>,
-    /// Time before which no further call may run, after a takeover.
+    /// Monotonic time before which no call may start, because a previous owner may still send one.
     pub blocked_until: Option<Duration>,
-    /// Whether backend servers without a recorded answer may hold memory.
+    /// Whether backend servers without a recorded answer may hold memory for the program.
     pub has_unrecorded_backends: bool,
-    /// Record of an implicit program that goes into the commit of its first other record.
+    /// Opening of an implicit program, to be committed with the program's next record.
     pub unrecorded_opened: Option<Record>,
-    /// Time of the last call's start or end.
+    /// Monotonic time of the last start or end of a call.
     pub used_at: Duration,
 }
 
 /// An ended program for which engines may still hold memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnreleasedProgram {
-    /// Program.
+    /// Id of the program.
     pub program: ProgramId,
     /// Backend servers that answered its calls.
     pub backends: Vec<BackendId>,
-    /// Whether backend servers without a recorded answer may hold memory too.
+    /// Whether backend servers without a recorded answer may hold memory for it too.
     pub has_unrecorded_backends: bool,
 }
 
@@ -77,7 +77,7 @@
         shard_of_program(&self.program.id) == Some(shard)
     }
 
-    /// Adjusts the running call to a record that was just committed.
+    /// Updates the running call after `record` was committed.
     fn update_running(&mut self, record: &Record) {
         match record {
             Record::Started { .. } => {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Programs by id, and the sub-agents of each.
+/// Programs by id, and the ids of their direct sub-agents.
 #[derive(Debug, Default)]
 pub(super) struct ProgramTable {
     slots: RefCell<HashMap<ProgramId, Slot>>,
@@ -109,12 +109,12 @@
         self.slots.borrow().contains_key(id)
     }
 
-    /// Reads a slot.
+    /// Calls `read` with the slot of a program, if there is one.
     pub fn with<R>(&self, id: &str, read: impl FnOnce(&Slot) -> R) -> Option<R> {
         self.slots.borrow().get(id).map(read)
     }
 
-    /// Changes a slot.
+    /// Calls `change` with the slot of a program, if there is one.
     pub fn update<R>(&self, id: &str, change: impl FnOnce(&mut Slot) -> R) -> Option<R> {
         self.slots.borrow_mut().get_mut(id).map(change)
     }
@@ -127,7 +127,7 @@
         self.slots.borrow_mut().insert(slot.program.id.clone(), slot);
     }
 
-    /// Applies a committed record; a program that it opens is inserted.
+    /// Applies a committed record; inserts the program if the record opens it.
     pub fn apply(&self, id: &str, record: &Record, now: Duration) {
         if !self.contains(id)
             && let Some(program) = Program::from_opened(id, record)
@@ -141,7 +141,7 @@
         });
     }
 
-    /// Returns `id` and all programs below it.
+    /// Returns `id` and the ids of all its descendants, parents before their sub-agents.
     pub fn subtree(&self, id: &str) -> Vec<ProgramId> {
         let children = self.children.borrow();
         let mut subtree = vec![id.to_owned()];
@@ -155,13 +155,13 @@
         subtree
     }
 
-    /// Returns the tokens charged to `id` and all programs below it.
+    /// Returns the tokens charged to `id` and all its descendants, including reservations.
     pub fn subtree_spent_tokens(&self, id: &str) -> u64 {
         let slots = self.slots.borrow();
         self.subtree(id).iter().filter_map(|id| slots.get(id)).map(Slot::spent_tokens).sum()
     }
 
-    /// Ends running repeatable calls; a call that may not be repeated is left to finish.
+    /// Cancels the running calls that are repeatable; the others run to completion.
     pub fn cancel_running(&self, programs: &[ProgramId]) {
         let slots = self.slots.borrow();
         let calls = programs.iter().filter_map(|id| slots.get(id)?.running.as_ref());
--- a/crates/coordination/src/owner/types.rs
+++ b/crates/coordination/src/owner/types.rs
@@ -1,4 +1,4 @@
-//! What an owner takes and gives: settings, tickets, admissions, ends.
+//! Settings of an owner, and the arguments and results of its methods.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,16 +10,17 @@
 use crate::record::{CallKey, StoredAnswer};
 use crate::refusal::Refusal;
 
-/// Time bounds of the owner.
+/// Timeouts of the owner.
 #[derive(Debug, Clone)]
 pub struct OwnerSettings {
-    /// Longest wait of a call for its predecessor.
+    /// Maximum time that a call waits for its predecessor.
     pub order_wait: Duration,
-    /// Longest wait for a commit that must precede the dispatch.
+    /// Maximum time to wait for the commit that records a call's start before the dispatch.
     pub start_commit_wait: Duration,
-    /// Longest wait of a caller for the commit that follows the backend server's answer.
+    /// Maximum time that a caller waits for the commit that records the end of its call.
     pub end_commit_wait: Duration,
-    /// Longest time from the start of that commit to the first byte sent to a backend server.
+    /// Maximum time from the beginning of the start commit to the first byte sent to a backend
+    /// server.
     pub dispatch_window: Duration,
 }
 
@@ -39,35 +40,37 @@
 pub struct CallTicket {
     /// Program of the call.
     pub program: ProgramId,
-    /// Call and attempt.
+    /// Identity of the call and the attempt.
     pub key: CallKey,
-    /// Feed to fill while the call runs.
+    /// Feed that receives the output of the call.
     pub feed: Arc<CallFeed>,
-    /// Monotonic time after which nothing may be sent to a backend server any more.
+    /// Monotonic time after which nothing may be sent to a backend server; `None` if the start is
+    /// not recorded.
     pub dispatch_before: Option<Duration>,
     /// Tokens reserved for the attempt.
     pub reserved_tokens: u64,
-    /// Incarnation that admitted the call; no other may record its end.
+    /// Incarnation that admitted the call; only this one may record its end.
     pub incarnation: IncarnationId,
-    /// Number of the shard's claim, sent to backend servers that check it.
+    /// Epoch of the shard, sent as the fencing token to backend servers that check it.
     pub fencing_number: u64,
 }
 
 /// Result of admitting a call.
 #[derive(Debug)]
 pub enum Admission {
-    /// The call finished earlier; the recorded answer is repeated.
+    /// The call finished earlier; the caller gets the recorded answer.
     Recorded(StoredAnswer),
-    /// The call is running; its feed can be followed.
+    /// The call is already running; the caller reads its feed.
     Join(Arc<CallFeed>),
-    /// The caller of [`Owner::admit`] executes the call and reports its end.
+    /// The caller of [`Owner::admit`](super::Owner::admit) must execute the call and report its
+    /// end.
     Run(CallTicket),
 }
 
 /// End of an attempt.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// The backend server gave a complete answer.
+    /// The backend server returned a complete answer.
     Answered {
         /// Complete answer.
         answer: Answer,
@@ -78,7 +81,7 @@
     },
     /// Nothing was sent to a backend server.
     NotSent(Refusal),
-    /// Something was sent, and no complete answer came back.
+    /// The request was sent at least in part, but no complete answer was received.
     Lost(Refusal),
 }
 
@@ -87,8 +90,8 @@
 pub struct ProgramSpec {
     /// Team that owns the program.
     pub team: String,
-    /// Parent of a sub-agent.
+    /// Parent program, for a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Most tokens to spend.
+    /// Token budget of the program and its sub-agents.
     pub budget_tokens: Option<u64>,
 }
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -1,4 +1,4 @@
-//! Shards owned by this node: claims, recovery from the journal, releases.
+//! Shards owned by this node: claiming, recovery from the journal, and release.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -17,7 +17,7 @@
 };
 use crate::program::Program;
 
-/// Most shard rows written in one transaction.
+/// Maximum number of shard rows written in one transaction.
 const TRANSACTION_ROWS_MAX: usize = 64;
 
 /// Phase of a shard on this node.
@@ -27,7 +27,7 @@
     Recovering,
     /// Serving calls.
     Serving,
-    /// Finishing running calls before the release.
+    /// Waiting for running calls to end before the release.
     Draining,
 }
 
@@ -38,7 +38,7 @@
     phase: Phase,
 }
 
-/// State of a shard at a point of its owner's journal.
+/// State of a shard at one position in its owner's journal.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Checkpoint {
     programs: Vec<Program>,
@@ -46,7 +46,7 @@
 
 type CommitCache = HashMap<(IncarnationId, CommitNumber), Vec<(CommitNumber, Commit)>>;
 
-/// The shards of one region and this node's part in them.
+/// The shards of one region: their owners, and the state of those that this node owns.
 pub struct Shards {
     platform: Platform,
     incarnation: Rc<Incarnation>,
@@ -59,7 +59,7 @@
 }
 
 impl Shards {
-    /// Creates the node's view of the shards of `region`; it owns none yet.
+    /// Creates the node's view of the shards of `region`; the node owns none yet.
     #[must_use]
     pub fn new(
         platform: Platform,
@@ -101,7 +101,7 @@
         serving.map(|(shard, _)| *shard).collect()
     }
 
-    /// Returns the number of shards held in any phase.
+    /// Returns the number of shards that this node owns, in any phase.
     #[must_use]
     pub fn owned_count(&self) -> usize {
         self.owned.borrow().len()
@@ -113,20 +113,20 @@
         self.owners.borrow().get(&shard).cloned()
     }
 
-    /// Returns the number of the shard's current claim, the fencing number for engines.
+    /// Returns the shard's epoch, the fencing token for engines, if this node owns the shard.
     #[must_use]
     pub fn epoch(&self, shard: ShardId) -> Option<u64> {
         self.owned.borrow().get(&shard).map(|owned| owned.row.epoch)
     }
 
-    /// Brings this node's shards in line with `assignment`; returns whether all are settled.
+    /// Claims and releases shards to match `assignment`; returns whether nothing is left to do.
     ///
-    /// `assignment` gives the preferred owner of a shard and `is_free` whether an incarnation can
-    /// commit nothing any more.
+    /// `assignment` returns the preferred owner of a shard, and `is_free` whether an incarnation
+    /// can no longer commit anything.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be read or written; the next call continues.
+    /// Fails when the platform cannot be read or written; calling again resumes the work.
     pub async fn reconcile(
         &self,
         assignment: &dyn Fn(ShardId) -> Option<IncarnationId>,
@@ -161,18 +161,18 @@
         Ok(settled)
     }
 
-    /// Marks every shard for release, for a planned stop.
+    /// Marks all owned shards for release, for a graceful shutdown.
     pub fn drain_all(&self) {
         for owned in self.owned.borrow_mut().values_mut() {
             owned.phase = Phase::Draining;
         }
     }
 
-    /// Releases drained shards without running calls; returns whether none is left to release.
+    /// Releases draining shards without running calls; returns whether no draining shard is left.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be written; the next call continues.
+    /// Fails when the platform cannot be written; calling again resumes the work.
     pub async fn release_drained(&self) -> PlatformResult<bool> {
         let draining: Vec<ShardId> = {
             let owned = self.owned.borrow();
@@ -194,11 +194,12 @@
         Ok(idle.len() == draining.len())
     }
 
-    /// Writes checkpoints of all served shards, so that a successor replays little.
+    /// Writes checkpoints of all served shards, so that their next owner replays few commits.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be written; the old checkpoints stay in force.
+    /// Fails when the platform cannot be written; shards not yet written keep their previous
+    /// checkpoint.
     pub async fn checkpoint(&self) -> PlatformResult<()> {
         for shard in self.serving() {
             self.checkpoint_shard(shard).await?;
@@ -222,10 +223,10 @@
         Ok(parsed)
     }
 
-    /// Updates a held shard from its row; returns whether the shard is still held.
+    /// Updates an owned shard from its row; returns whether this node owned the shard.
     ///
-    /// Only the owner writes the row of a shard while it is not fenced, so a row that names
-    /// another owner shows that this node was fenced.
+    /// Until the owner is fenced, only the owner writes the row. A row that names another owner
+    /// therefore means that this node was fenced.
     fn refresh_owned(
         &self,
         shard: ShardId,
@@ -360,7 +361,7 @@
     }
 
     async fn checkpoint_shard(&self, shard: ShardId) -> PlatformResult<()> {
-        // Commits are applied as they complete: the programs hold all before this number.
+        // Commits are applied as they complete, so the programs include all before this number.
         self.journal.flush().await;
         let first_commit = self.journal.next_number();
         let Some(owned) = self.owned.borrow().get(&shard).cloned() else {
@@ -442,7 +443,7 @@
         if self.platform.table.transact(&transaction).await? == TransactionOutcome::Conflict {
             warn!("event=release_conflict shards={}", batch.len());
         }
-        // After a conflict the rows are no longer this node's either way.
+        // A conflict also means that this node no longer owns the shards.
         for shard in batch {
             self.owned.borrow_mut().remove(shard);
             self.owners.borrow_mut().remove(shard);
