--- a/crates/coordination/src/call.rs
+++ b/crates/coordination/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of a program, their answers, and the feed that joins several readers to one execution.
+//! Calls of a program, their answers, and the feed that several readers of one execution share.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,18 +10,18 @@
 use crate::payload::Payload;
 use crate::refusal::Refusal;
 
-/// What a call asks for.
+/// Kind of a call, with the parameters of that kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallTarget {
-    /// A model engine's chat completion.
+    /// A chat completion by a model engine.
     Model {
-        /// Upper bound of the prompt, in tokens.
+        /// Upper bound of the prompt length, in tokens.
         prompt_tokens_max: u64,
-        /// Upper bound of the completion asked for, in tokens.
+        /// Upper bound of the completion length, in tokens.
         completion_tokens_max: u64,
     },
-    /// A plain service.
+    /// A request to a plain service.
     Service {
         /// HTTP method.
         method: String,
@@ -32,33 +32,33 @@
     },
 }
 
-/// A call as it travels from the edge to the program's owner; carries no key of the caller.
+/// A call as forwarded to the program's owner; does not contain the caller's API key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRequest {
     /// Program that the call belongs to.
     pub program: ProgramId,
     /// Whether the program consists of this call alone.
     pub single: bool,
-    /// Position in the program.
+    /// Position of the call in the program.
     pub sequence: CallSequence,
-    /// Key that identifies repeats of this call.
+    /// Idempotency key, by which a retry of this call is recognised.
     pub idempotency_key: String,
-    /// Team that the caller's key belongs to.
+    /// Team that the caller's API key belongs to.
     pub team: TeamId,
     /// Route named by the caller.
     pub route: RouteId,
     /// Whether the call may be executed more than once.
     pub repeatable: bool,
-    /// What the call asks for.
+    /// Kind of the call.
     pub target: CallTarget,
-    /// Whether the caller reads the answer as a stream.
+    /// Whether the caller asked for a streamed answer.
     pub stream: bool,
     /// Body to send to the backend server.
     pub body: Payload,
 }
 
 impl CallRequest {
-    /// Returns the digest that tells two requests under one idempotency key apart.
+    /// Returns a digest that detects a different request with the same idempotency key.
     #[must_use]
     pub fn digest(&self) -> String {
         let mut hasher = Sha256::new();
@@ -74,7 +74,7 @@
         sha256_hex(&hasher.finalize())
     }
 
-    /// Returns the most tokens that the call can spend.
+    /// Returns the maximum number of tokens that the call can spend.
     #[must_use]
     pub fn tokens_max(&self) -> u64 {
         match self.target {
@@ -97,7 +97,7 @@
     pub body: Payload,
 }
 
-/// Tokens spent by a call.
+/// Token usage of a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
@@ -117,15 +117,15 @@
 /// Final result of a call.
 pub type CallOutcome = Result<Answer, Refusal>;
 
-/// One step of a call as seen by a reader.
+/// An event that the readers of a call receive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CallEvent {
-    /// Part of a streamed answer.
+    /// A chunk of a streamed answer.
     Delta(Payload),
-    /// The complete answer; nothing follows.
+    /// The complete answer; the last event.
     Finished(Answer),
-    /// No answer; nothing follows.
+    /// The refusal, instead of an answer; the last event.
     Refused(Refusal),
 }
 
@@ -167,7 +167,7 @@
         Arc::new(Self { state: Mutex::default(), changed: watch::Sender::new(()) })
     }
 
-    /// Appends a part of the answer; ignored once the feed is closed.
+    /// Appends a chunk of the answer; does nothing once the feed is closed.
     pub fn push(&self, delta: Payload) {
         let mut state = self.lock();
         if state.outcome.is_none() {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Closes the feed; the first outcome stays.
+    /// Closes the feed with `outcome`; does nothing if it is already closed.
     pub fn close(&self, outcome: CallOutcome) {
         let mut state = self.lock();
         if state.outcome.is_none() {
@@ -187,25 +187,25 @@
         }
     }
 
-    /// Returns the number of readers that currently follow the feed.
+    /// Returns the current number of readers.
     #[must_use]
     pub fn reader_count(&self) -> usize {
         self.changed.receiver_count()
     }
 
-    /// Returns a reader that starts at the first part.
+    /// Returns a reader that starts at the first chunk.
     #[must_use]
     pub fn reader(self: &Arc<Self>) -> FeedReader {
         self.reader_from(0)
     }
 
-    /// Returns a reader that skips the first `position` parts.
+    /// Returns a reader that skips the first `position` chunks.
     #[must_use]
     pub fn reader_from(self: &Arc<Self>, position: usize) -> FeedReader {
         FeedReader { changed: self.changed.subscribe(), feed: Arc::clone(self), position }
     }
 
-    /// Returns whether the outcome is known.
+    /// Returns whether the feed is closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.lock().outcome.is_some()
@@ -216,7 +216,7 @@
     }
 }
 
-/// Follows a [`CallFeed`] from its first part to its outcome.
+/// Reads the events of a [`CallFeed`] up to its outcome.
 #[derive(Debug)]
 pub struct FeedReader {
     feed: Arc<CallFeed>,
@@ -225,7 +225,7 @@
 }
 
 impl FeedReader {
-    /// Returns the next event if it is already there.
+    /// Returns the next event if it is already available.
     pub fn try_next(&mut self) -> Option<CallEvent> {
         let state = self.feed.lock();
         if let Some(delta) = state.deltas.get(self.position) {
@@ -235,7 +235,7 @@
         state.outcome.clone().map(CallEvent::from)
     }
 
-    /// Waits for the next event; after the last one it repeats the outcome.
+    /// Waits for the next event; once the outcome is reached, returns it each time.
     pub async fn next(&mut self) -> CallEvent {
         loop {
             self.changed.mark_unchanged();
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Choice of a backend server for a call, and what this node has outstanding at each.
+//! Selects backend servers for calls by this node's number of outstanding calls at each.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -7,9 +7,9 @@
 use crate::ids::BackendId;
 use crate::refusal::{Refusal, RefusalKind};
 
-/// Retries that may be saved up.
+/// Maximum number of retries that the budget can hold.
 const RETRY_TOKENS_MAX: f64 = 10.0;
-/// Retries earned by one first try.
+/// Share of a retry that each first attempt adds to the budget.
 const RETRY_TOKENS_PER_CALL: f64 = 0.1;
 
 /// A backend server chosen for one attempt.
@@ -21,7 +21,7 @@
     pub address: String,
 }
 
-/// Tracks outstanding calls and picks the least loaded backend server.
+/// Counts outstanding calls and selects the least loaded backend server.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     outstanding: RefCell<HashMap<BackendId, u32>>,
@@ -29,7 +29,7 @@
     retry_budget: RefCell<RetryBudget>,
 }
 
-/// Retries allowed as a share of first tries.
+/// Token bucket that limits retries to a share of first attempts.
 #[derive(Debug)]
 struct RetryBudget {
     tokens: f64,
@@ -56,11 +56,11 @@
 }
 
 impl Dispatcher {
-    /// Chooses a backend server for `served`, leaving out those in `tried`.
+    /// Selects a backend server for the model or plain service `served`, excluding `tried`.
     ///
     /// # Errors
     ///
-    /// Refuses when no active backend server is left.
+    /// Refuses when no active backend server is left or the retry budget is exhausted.
     pub fn place(
         &self,
         config: &ConfigSnapshot,
@@ -81,7 +81,7 @@
         let chosen = config
             .active_backends(served)
             .filter(|(name, backend)| !tried.contains(name) && !leaving.contains(&backend.address))
-            // Equally loaded ones are drawn at random, so that nodes do not all pick the same.
+            // Ties are broken at random, so that nodes do not all select the same backend server.
             .min_by_key(|(name, _)| (load(name), rand::random::<u32>()));
         let Some((name, backend)) = chosen else {
             return Err(Refusal::not_run(
@@ -98,7 +98,7 @@
         *self.leaving.borrow_mut() = addresses;
     }
 
-    /// Records the end of an attempt.
+    /// Records the end of an attempt at `placement`.
     pub fn release(&self, placement: &Placement) {
         if let Some(count) = self.outstanding.borrow_mut().get_mut(&placement.backend) {
             *count = count.saturating_sub(1);
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -1,22 +1,22 @@
-//! Event streams, cut into whole events.
+//! Splits a stream of server-sent events into events.
 
 use std::collections::VecDeque;
 
-/// One whole event of a stream.
+/// A complete event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// Bytes of the event as received, with the empty line that ends it.
+    /// Bytes of the event as received, including the empty line that ends it.
     pub raw: Vec<u8>,
-    /// Identifier, if the event has one that is a number.
+    /// Value of the `id` field, if it is a number.
     pub id: Option<u64>,
-    /// Data lines, joined by line feeds.
+    /// Values of the `data` fields, joined by line feeds.
     pub data: Vec<u8>,
 }
 
-/// Largest event that is buffered, in bytes; events of the engines are under a kilobyte.
+/// Maximum size of a buffered incomplete event; events of the engines are under a kilobyte.
 const EVENT_MAX_BYTES: usize = 1024 * 1024;
 
-/// Cuts bytes of a stream into whole events.
+/// Splits the bytes of a stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     partial: Vec<u8>,
@@ -24,7 +24,7 @@
 }
 
 impl EventSplitter {
-    /// Takes further bytes; returns `false` when an event is too large to be one.
+    /// Appends bytes; returns `false` when the last, incomplete event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.partial.extend_from_slice(bytes);
         let mut start = 0;
@@ -37,19 +37,19 @@
         self.partial.len() <= EVENT_MAX_BYTES
     }
 
-    /// Returns the next whole event.
+    /// Returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         self.events.pop_front()
     }
 
-    /// Returns whether bytes of an unfinished event are left.
+    /// Returns whether bytes of an incomplete event are buffered.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 }
 
-/// Returns the length of the first event, with its empty line.
+/// Returns the length of the first event including its empty line, or `None` if incomplete.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (position, byte) in bytes.iter().enumerate() {
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -1,19 +1,19 @@
-//! Identifiers shared by all modules, and the placement encoded in program ids.
+//! Identifiers shared by all modules, and the region and shard encoded in program ids.
 
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Name of a team, as written in the configuration.
 pub type TeamId = String;
-/// One run of a node process: a restarted process gets a new incarnation.
+/// Identifier of one incarnation of a node; a restart or a fencing starts a new incarnation.
 pub type IncarnationId = String;
-/// Index of a shard, below the fleet's shard count.
+/// Index of a shard, less than the shard count of the fleet.
 pub type ShardId = u16;
-/// Name of a program: `prg-{region}-{shard:04x}-{unique}`.
+/// Id of a program: `prg-{region}-{shard:04x}-{unique:032x}`.
 pub type ProgramId = String;
-/// Position of a call in its program, from 1 without gaps.
+/// Position of a call in its program, counted from 1 without gaps.
 pub type CallSequence = u64;
-/// Number of a published configuration; only rises.
+/// Version number of a published configuration; only increases.
 pub type ConfigVersion = u64;
 /// Name of a region, as given by the node's settings.
 pub type RegionId = String;
@@ -26,13 +26,13 @@
 
 const PROGRAM_ID_PREFIX: &str = "prg";
 
-/// Returns the id of a program homed in `region` on `shard`.
+/// Returns the id of a program on `shard` of `region`.
 #[must_use]
 pub fn program_id(region: &str, shard: ShardId, unique: u128) -> ProgramId {
     format!("{PROGRAM_ID_PREFIX}-{region}-{shard:04x}-{unique:032x}")
 }
 
-/// Region and shard that a program lives on.
+/// Region and shard of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProgramHome {
     /// Region of the program.
@@ -41,7 +41,7 @@
     pub shard: ShardId,
 }
 
-/// Returns the home named by a program id, or `None` when the id is malformed.
+/// Returns the region and shard in a program id, or `None` if the id is malformed.
 #[must_use]
 pub fn home_of_program(program: &str) -> Option<ProgramHome> {
     let rest = program.strip_prefix(PROGRAM_ID_PREFIX)?.strip_prefix('-')?;
@@ -56,7 +56,7 @@
     Some(ProgramHome { region: region.to_owned(), shard })
 }
 
-/// Returns the shard named by a program id, or `None` when the id is malformed.
+/// Returns the shard in a program id, or `None` if the id is malformed.
 #[must_use]
 pub fn shard_of_program(program: &str) -> Option<ShardId> {
     home_of_program(program).map(|home| home.shard)
@@ -64,7 +64,8 @@
 
 /// Returns the id of the implicit program that holds a call sent without `Program-Id`.
 ///
-/// The id depends only on team and idempotency key, so that a repeat reaches the same owner.
+/// For one region and shard count, the id depends only on the team and the idempotency key, so
+/// that a retry reaches the same owner.
 #[must_use]
 pub fn single_call_program_id(
     region: &str,
@@ -89,7 +90,7 @@
     })
 }
 
-/// Returns the rendezvous weight of `node` for `shard`; the highest weight owns the shard.
+/// Returns the rendezvous weight of `node` for `shard`; the node with the highest weight owns it.
 #[must_use]
 pub fn rendezvous_weight(node: &str, shard: ShardId) -> u64 {
     let mut input = Vec::with_capacity(node.len() + 2);
--- a/crates/coordination/src/payload.rs
+++ b/crates/coordination/src/payload.rs
@@ -7,7 +7,7 @@
 use serde::ser::SerializeMap as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Body bytes, serialised as text where they are UTF-8 and as base64 otherwise.
+/// Body bytes, serialised as text if they are valid UTF-8 and as base64 otherwise.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Payload(pub Vec<u8>);
 
@@ -72,19 +72,19 @@
     }
 }
 
-/// Where a body is kept.
+/// A stored body or its location.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
-    /// In the journal record itself.
+    /// Stored in the journal record.
     Inline(Payload),
-    /// In a slice of an object shared by one commit.
+    /// Stored in a byte range of the object that holds the large bodies of one commit.
     Object {
         /// Key in the object store.
         key: String,
-        /// First byte of the slice.
+        /// Offset of the first byte.
         offset_bytes: u64,
-        /// Length of the slice.
+        /// Length of the range.
         len_bytes: u64,
     },
 }
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -43,19 +43,19 @@
     pub phase: CallPhase,
 }
 
-/// What to do with an arriving call.
+/// How to handle an arriving call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Execute it as this attempt.
+    /// Execute the call as this attempt.
     Run {
         /// Attempt number.
         attempt: u32,
     },
-    /// Answer with the recorded answer.
+    /// Return the recorded answer.
     Recorded(StoredAnswer),
-    /// Wait: the predecessor or an earlier attempt is not settled yet.
+    /// Wait until the predecessor or an earlier attempt of the call is settled.
     Wait,
-    /// Refuse.
+    /// Refuse the call.
     Refuse(Refusal),
 }
 
@@ -66,11 +66,11 @@
     pub id: ProgramId,
     /// Team that owns the program.
     pub team: TeamId,
-    /// Parent of a sub-agent.
+    /// Parent program, for a sub-agent.
     pub parent: Option<ProgramId>,
-    /// Most tokens that the program and its sub-agents may spend.
+    /// Token budget of the program and its sub-agents.
     pub budget_tokens: Option<u64>,
-    /// Tokens charged to this program, sub-agents excluded.
+    /// Tokens charged to this program, excluding its sub-agents.
     pub spent_tokens: u64,
     /// Whether the program consists of a single call.
     pub single: bool,
@@ -78,16 +78,16 @@
     pub closed: Option<(CloseReason, u64)>,
     /// Backend servers that answered calls of the program.
     pub backends: BTreeSet<BackendId>,
-    /// Whether no engine holds memory for the program any more.
+    /// Whether engines no longer hold memory for the program.
     pub released: bool,
-    /// Time of opening, since the Unix epoch.
+    /// Unix time of opening, in milliseconds.
     pub opened_unix_ms: u64,
     /// Calls by sequence.
     pub calls: BTreeMap<CallSequence, Call>,
 }
 
 impl Program {
-    /// Creates the state that an [`Record::Opened`] record describes.
+    /// Creates the state that a [`Record::Opened`] record describes.
     ///
     /// Returns `None` for any other record.
     #[must_use]
@@ -154,7 +154,7 @@
         settled as CallSequence + 1
     }
 
-    /// Decides what to do with `request` from recorded state alone.
+    /// Decides how to handle `request`, based only on recorded state.
     #[must_use]
     pub fn decide(&self, request: &CallRequest, digest: &str) -> Decision {
         if self.team != request.team {
@@ -172,7 +172,7 @@
         Decision::Run { attempt: 1 }
     }
 
-    /// Returns the tokens that remain of the program's own budget.
+    /// Returns the remaining tokens of the program's own budget, not counting its sub-agents' calls.
     #[must_use]
     pub fn remaining_tokens(&self) -> Option<u64> {
         self.budget_tokens.map(|budget| budget.saturating_sub(self.spent_tokens))
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,4 +1,4 @@
-//! Records of the journal.
+//! Records of the journal: the changes to programs.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,23 +6,23 @@
 use crate::ids::{BackendId, CallSequence, ProgramId, RouteId, ShardId, TeamId};
 use crate::payload::Body;
 
-/// A record with the program that it belongs to.
+/// A record with the program that it changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Shard of the program.
     pub shard: ShardId,
-    /// Program that changes.
+    /// Id of the program.
     pub program: ProgramId,
-    /// What changes.
+    /// Change to the program.
     pub record: Record,
 }
 
-/// Identity of one call and of one attempt at it.
+/// Identity of a call and of one attempt to execute it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallKey {
-    /// Position in the program.
+    /// Position of the call in the program.
     pub sequence: CallSequence,
-    /// Attempt, from 1.
+    /// Number of the attempt, from 1.
     pub attempt: u32,
     /// Caller's idempotency key.
     pub idempotency_key: String,
@@ -41,7 +41,7 @@
     pub status: u16,
     /// Content type of the body.
     pub content_type: String,
-    /// Where the body is kept.
+    /// Body, inline or in the object store.
     pub body: Body,
 }
 
@@ -55,11 +55,11 @@
     Cancelled,
     /// The parent program ended.
     ParentEnded,
-    /// No call arrived within the retention time.
+    /// The program had no call for longer than the idle timeout.
     Abandoned,
 }
 
-/// A change of a program.
+/// A change to a program.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
@@ -67,25 +67,25 @@
     Opened {
         /// Team that owns the program.
         team: TeamId,
-        /// Program that spawned this one as a sub-agent.
+        /// Parent program, for a sub-agent.
         parent: Option<ProgramId>,
-        /// Most tokens that the program and its sub-agents may spend.
+        /// Token budget of the program and its sub-agents.
         budget_tokens: Option<u64>,
         /// Whether the program consists of a single call.
         single: bool,
-        /// Time of opening, since the Unix epoch.
+        /// Unix time of opening, in milliseconds.
         opened_unix_ms: u64,
     },
-    /// An attempt is about to be handed to a backend server.
+    /// An attempt is about to be sent to a backend server.
     Started {
-        /// Call and attempt.
+        /// Identity of the call and the attempt.
         call: CallKey,
         /// Tokens charged until the outcome is known.
         reserved_tokens: u64,
     },
     /// An attempt finished with an answer.
     Finished {
-        /// Call and attempt.
+        /// Identity of the call and the attempt.
         call: CallKey,
         /// Request body.
         request: Body,
@@ -96,30 +96,30 @@
         /// Backend server that answered.
         backend: BackendId,
     },
-    /// An attempt was given up before anything was sent to a backend server.
+    /// An attempt was cancelled before anything was sent to a backend server.
     Cancelled {
-        /// Call and attempt.
+        /// Identity of the call and the attempt.
         call: CallKey,
     },
-    /// An attempt may have run and its outcome is not known.
+    /// An attempt may have run, and its outcome is unknown.
     InDoubt {
-        /// Call and attempt.
+        /// Identity of the call and the attempt.
         call: CallKey,
     },
     /// A repeatable attempt failed after it was sent; its reservation stays charged.
     Failed {
-        /// Call and attempt.
+        /// Identity of the call and the attempt.
         call: CallKey,
         /// Tokens charged for the attempt.
         charged_tokens: u64,
     },
     /// The program ended.
     Closed {
-        /// Why.
+        /// Reason.
         reason: CloseReason,
-        /// Time of closing, since the Unix epoch.
+        /// Unix time of closing, in milliseconds.
         closed_unix_ms: u64,
     },
-    /// No engine holds memory for the ended program any more.
+    /// Engines no longer hold memory for the ended program.
     Released,
 }
--- a/crates/coordination/src/rows.rs
+++ b/crates/coordination/src/rows.rs
@@ -8,20 +8,20 @@
 /// A stored row with the version of the write that produced it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedRow {
-    /// Number of the write; always above 0.
+    /// Version assigned by the write; always greater than 0.
     pub version: u64,
     /// Stored bytes.
     pub value: Vec<u8>,
 }
 
-/// A row as a feed or a range read returns it.
+/// A row as returned by a change feed or a range read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowChange {
-    /// Part of the table.
+    /// Partition of the table.
     pub part: String,
-    /// Key within the part.
+    /// Key within the partition.
     pub key: String,
-    /// Number of the write.
+    /// Version assigned by the write.
     pub version: u64,
     /// Stored bytes; `None` when the row was removed or its value cannot be decoded.
     pub value: Option<Vec<u8>>,
@@ -34,9 +34,9 @@
 pub struct RowWrite<'a> {
     /// Table of the row.
     pub table: &'a str,
-    /// Part of the table; writes to one part are applied one after another.
+    /// Partition of the table; writes to one partition are applied sequentially.
     pub part: &'a str,
-    /// Key within the part.
+    /// Key within the partition.
     pub key: &'a str,
     /// Version that the row must have; 0 requires that it does not exist.
     pub expected_version: u64,
@@ -44,19 +44,19 @@
     pub value: Option<&'a [u8]>,
 }
 
-/// Definite outcome of a conditional write.
+/// Known outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The write took effect; holds the row's new version.
     Written(u64),
-    /// The row had another version, and nothing was written; holds the current row, if any.
+    /// The row had a different version and was not written; holds the current row, if any.
     Conflict(Option<VersionedRow>),
 }
 
 /// Failure of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum RowStoreError {
-    /// Nothing was sent.
+    /// The request was not sent.
     #[snafu(display("the store cannot be reached ({detail}); check its address and state"))]
     Unreachable {
         /// Cause as reported by the transport.
@@ -74,15 +74,15 @@
         /// HTTP status.
         status: u16,
     },
-    /// The store answered in an unknown form.
+    /// The store's answer could not be decoded.
     #[snafu(display("the store's answer is malformed ({detail}); check its version"))]
     Malformed {
-        /// What was wrong.
+        /// Description of the fault.
         detail: String,
     },
 }
 
-/// Rows that the fleet shares.
+/// Store of rows that all nodes share.
 #[async_trait(?Send)]
 pub trait RowStore {
     /// Reads one row.
@@ -101,15 +101,15 @@
     ///
     /// # Errors
     ///
-    /// Fails when the store cannot be reached or refuses the call;
-    /// [`RowStoreError::AnswerLost`] leaves open whether the write took effect.
+    /// Fails when the store cannot be reached or refuses the call; after
+    /// [`RowStoreError::AnswerLost`] it is unknown whether the write took effect.
     async fn write(&self, write: RowWrite<'_>) -> Result<WriteOutcome, RowStoreError>;
 }
 
 /// A shared handle to the store.
 pub type SharedRowStore = Rc<dyn RowStore>;
 
-/// Returns the part that `key` belongs to, out of `parts`.
+/// Returns the partition of `key` in a table with `parts` partitions.
 #[must_use]
 pub fn part_of(key: &str, parts: u64) -> String {
     format!("{:02x}", xxhash_rust::xxh3::xxh3_64(key.as_bytes()) % parts.max(1))
