--- a/crates/coordination/src/clock.rs
+++ b/crates/coordination/src/clock.rs
@@ -1,15 +1,15 @@
-//! Time as seen by the coordination parts.
+//! Clock interface and time conversion.
 
 use std::time::Duration;
 
 use futures_util::future::LocalBoxFuture;
 
-/// Source of time; tests replace it by one they drive.
+/// Source of time; tests substitute a clock that they control.
 pub trait Clock {
-    /// Returns the time since an arbitrary fixed point; never goes back.
+    /// Returns the time since an arbitrary fixed point; never decreases.
     fn monotonic(&self) -> Duration;
 
-    /// Returns the time since the Unix epoch; may jump.
+    /// Returns the time since the Unix epoch; may jump in either direction.
     fn unix(&self) -> Duration;
 
     /// Completes after `duration`.
--- a/crates/coordination/src/detector.rs
+++ b/crates/coordination/src/detector.rs
@@ -1,4 +1,4 @@
-//! Failure detection: who observes whom, and who has been silent for too long.
+//! Failure detection: choice of each member's observers, and suspicion of silent members.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use crate::members::{Member, MemberState};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Observers of each member.
+/// Number of observers of each member.
 pub const OBSERVERS_PER_MEMBER: usize = 3;
-/// Observers that must agree before a member is fenced.
+/// Number of observers that must suspect a member before it is fenced.
 pub const OBSERVER_QUORUM: usize = 2;
 
-/// Returns the members that observe `target`, in other zones where possible.
+/// Returns the members that observe `target`, preferably from different zones other than its own.
 #[must_use]
 pub fn observers<'a>(members: &'a [Member], target: &Member) -> Vec<&'a Member> {
     let mut ranked: Vec<&Member> = members
@@ -40,12 +40,12 @@
     xxh3_64(format!("{target}/{observer}").as_bytes())
 }
 
-/// Time bounds of failure detection.
+/// Timing of failure detection.
 #[derive(Debug, Clone)]
 pub struct DetectorSettings {
     /// Time between two heartbeats.
     pub interval: Duration,
-    /// Silence after which a member is suspected.
+    /// Time without a heartbeat after which a member is suspected.
     pub suspect_after: Duration,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Remembers when each observed member was last heard.
+/// Tracks the time of the last heartbeat of each observed member.
 #[derive(Debug)]
 pub struct Detector {
     settings: DetectorSettings,
@@ -64,21 +64,21 @@
 }
 
 impl Detector {
-    /// Creates a detector that has heard nobody.
+    /// Creates a detector that observes no members yet.
     #[must_use]
     pub fn new(settings: DetectorSettings, now: Duration) -> Self {
         Self { settings, last_heartbeats: HashMap::new(), last_update: now }
     }
 
-    /// Records a sign of life.
+    /// Records a heartbeat from `member`.
     pub fn record_heartbeat(&mut self, member: &str, now: Duration) {
         self.last_heartbeats.insert(member.to_owned(), now);
     }
 
-    /// Sets whom this node observes; newly observed members count as just heard.
+    /// Sets the members that this node observes; the silence of new ones is measured from `now`.
     ///
-    /// A gap since the last call shows that this node itself was paused: its silence says nothing
-    /// about the others, so everybody counts as just heard.
+    /// If more than two heartbeat intervals have passed since the last call, this node itself was
+    /// paused and may have missed heartbeats, so the silence of all members is measured from `now`.
     pub fn set_observed(&mut self, observed: &[IncarnationId], now: Duration) {
         let paused = now.saturating_sub(self.last_update) > self.settings.interval * 2;
         self.last_update = now;
@@ -91,14 +91,14 @@
         }
     }
 
-    /// Returns whether `member` is observed and has been silent for too long.
+    /// Returns whether `member` is observed and has sent no heartbeat for too long.
     #[must_use]
     pub fn is_suspect(&self, member: &str, now: Duration) -> bool {
         let silent = |last: &Duration| now.saturating_sub(*last) >= self.settings.suspect_after;
         self.last_heartbeats.get(member).is_some_and(silent)
     }
 
-    /// Returns all members that have been silent for too long.
+    /// Returns all suspected members, sorted by id.
     #[must_use]
     pub fn suspects(&self, now: Duration) -> Vec<IncarnationId> {
         let mut suspects: Vec<_> = self
--- a/crates/coordination/src/heartbeat.rs
+++ b/crates/coordination/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to observers, suspicion, and the promises that cover limit shares.
+//! Exchange of heartbeats, suspicion of failed members, and leases on limit shares.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,19 +14,21 @@
 use crate::members::{Member, MemberState};
 use crate::peers::{Heartbeat, HeartbeatReply, Peers};
 
-/// Time for which a node that answers a heartbeat promises not to reclaim the sender's shares.
+/// Duration of the lease on the sender's limit shares that a heartbeat reply grants.
+///
+/// The replying node does not reclaim the shares before the lease has expired.
 pub const SHARE_LEASE: Duration = Duration::from_secs(3);
 
-/// Newest configuration seen at a peer.
+/// Newer configuration reported by a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NewerConfig {
     /// Version in force at the peer.
     pub version: ConfigVersion,
-    /// Peer address to fetch it from.
+    /// Peer address from which to fetch the configuration.
     pub peer_address: String,
 }
 
-/// Who observes whom, for one state of the membership.
+/// This node's observers and the members that it observes, for one membership snapshot.
 struct Observation {
     members: Rc<Vec<Member>>,
     own_observers: Vec<Member>,
@@ -48,7 +50,7 @@
     }
 }
 
-/// Exchange of heartbeats by one node.
+/// Heartbeat exchange of one node.
 pub struct Heartbeats {
     peers: Rc<dyn Peers>,
     clock: Rc<dyn Clock>,
@@ -75,13 +77,15 @@
         }
     }
 
-    /// Returns the time until which this node may spend its limit shares.
+    /// Returns the time at which this node's share lease expires.
+    ///
+    /// The node may spend its limit shares until then.
     #[must_use]
     pub fn share_lease_expiry(&self) -> Duration {
         self.share_lease_expiry.get()
     }
 
-    /// Extends the time until which this node may spend its limit shares.
+    /// Extends this node's share lease to `until` unless it already expires later.
     pub fn extend_share_lease(&self, until: Duration) {
         self.share_lease_expiry.set(self.share_lease_expiry.get().max(until));
     }
@@ -92,7 +96,7 @@
         self.sent.get()
     }
 
-    /// Answers a heartbeat; a sender that is known to be fenced gets no promise any more.
+    /// Replies to a heartbeat; grants a share lease unless the sender is known to be fenced.
     pub fn answer(
         &self,
         own: &Member,
@@ -112,7 +116,7 @@
         HeartbeatReply { from: own.id.clone(), config_version, promise_ms: millis(lease) }
     }
 
-    /// Returns the time at which this node last promised not to reclaim the shares of `member`.
+    /// Returns the time at which this node last granted `member` a lease on its limit shares.
     #[must_use]
     pub fn lease_granted_at(&self, member: &str) -> Option<Duration> {
         self.lease_granted_at.borrow().get(member).copied()
@@ -124,7 +128,9 @@
         self.detector.borrow().is_suspect(member, self.clock.monotonic())
     }
 
-    /// Sends a heartbeat to each observer; returns the newest configuration heard of.
+    /// Sends a heartbeat to each observer.
+    ///
+    /// Returns the newest configuration reported in the replies, if newer than `config_version`.
     pub async fn send_heartbeats(
         &self,
         own: &Member,
@@ -153,7 +159,8 @@
         match self.peers.heartbeat(&observer.peer_address, heartbeat).await {
             Ok(reply) => {
                 if own.reclaimer.as_deref() == Some(&reply.from) {
-                    // Counted from the sending, which is before the promise was made.
+                    // The lease starts at the send time, so that it expires here before the peer
+                    // that granted it considers it expired.
                     self.extend_share_lease(sent_at + Duration::from_millis(reply.promise_ms));
                 }
                 let version = reply.config_version;
@@ -166,13 +173,13 @@
         }
     }
 
-    /// Updates whom this node observes.
+    /// Updates the set of members that this node observes.
     pub fn update_observed(&self, own: &Member, members: &Rc<Vec<Member>>) {
         let observation = self.observation(own, members);
         self.detector.borrow_mut().set_observed(&observation.observed, self.clock.monotonic());
     }
 
-    /// Returns who observes whom, computed once for each state of the membership.
+    /// Returns the observers and observed members, cached per membership snapshot.
     fn observation(&self, own: &Member, members: &Rc<Vec<Member>>) -> Rc<Observation> {
         let mut known = self.observation.borrow_mut();
         match &*known {
@@ -183,7 +190,7 @@
         }
     }
 
-    /// Returns the suspects that enough observers agree on.
+    /// Returns the suspects that a quorum of their observers confirms.
     pub async fn confirmed_suspects(&self, own: &Member, members: &[Member]) -> Vec<IncarnationId> {
         let suspects = self.detector.borrow().suspects(self.clock.monotonic());
         let mut confirmed = Vec::new();
--- a/crates/coordination/src/incarnation.rs
+++ b/crates/coordination/src/incarnation.rs
@@ -1,4 +1,4 @@
-//! This node's own incarnation: its row in the table and whether it has been fenced.
+//! Incarnation of the running node: the version of its table row and whether it was fenced.
 
 use std::cell::Cell;
 
@@ -6,7 +6,7 @@
 
 use crate::ids::IncarnationId;
 
-/// Identity of the running node towards the table.
+/// Identity under which the running node writes to the table.
 #[derive(Debug)]
 pub struct Incarnation {
     id: IncarnationId,
@@ -27,24 +27,24 @@
         &self.id
     }
 
-    /// Returns the version of the node's row as last written by the node itself.
+    /// Returns the version of the node's own row as last written or read.
     #[must_use]
     pub fn row_version(&self) -> u64 {
         self.row_version.get()
     }
 
-    /// Records the version of the node's row after a write by the node itself.
+    /// Records the version of the node's own row.
     pub fn set_row_version(&self, version: u64) {
         self.row_version.set(version);
     }
 
-    /// Returns whether another node has fenced this one.
+    /// Returns whether the incarnation is known to be fenced.
     #[must_use]
     pub fn is_fenced(&self) -> bool {
         *self.fenced.borrow()
     }
 
-    /// Marks the incarnation as fenced; it can commit nothing from here on.
+    /// Marks the incarnation as fenced; it cannot commit anything from then on.
     pub fn mark_fenced(&self) {
         self.fenced.send_replace(true);
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,10 +1,11 @@
-//! Coordination parts for schedulers of agent programs.
+//! Coordination library for schedulers of agent programs.
 //!
-//! The crate holds what many equal, diskless nodes need to act as one: ownership of programs
-//! fenced by the platform's table, a group-committed journal, and the order and idempotency of
-//! calls. It opens no sockets: the table, the object store and the clock are traits.
+//! The crate lets many equal, diskless nodes act as one scheduler: it provides ownership of
+//! programs with fencing through the platform's table, a journal with group commit, and ordered,
+//! idempotent calls. It opens no sockets: the table, the object store and the clock are traits.
 //!
-//! A scheduler that only needs checked objects and a choice of backend servers embeds two types:
+//! A scheduler that only needs validated objects and placement on backend servers can embed two
+//! types:
 //!
 //! ```
 //! use dandelionfront_coordination::config::ObjectFiles;
@@ -28,7 +29,7 @@
 //! assert_eq!(placement.address, "10.0.0.7:8000");
 //! ```
 //!
-//! [`Node`] ties all parts together; it needs a [`TableService`], an [`ObjectStore`], a [`Clock`]
+//! [`Node`] combines all components; it needs a [`TableService`], an [`ObjectStore`], a [`Clock`]
 //! and [`Peers`], and runs on any single-threaded executor.
 
 pub mod call;
--- a/crates/coordination/src/members.rs
+++ b/crates/coordination/src/members.rs
@@ -1,4 +1,4 @@
-//! The fleet's members as recorded in the table, and which of them owns a shard.
+//! Table rows for members and shards, and the choice of each shard's preferred owner.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,18 +11,18 @@
 /// Value of the head row.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Newest published configuration; 0 before the first publication.
+    /// Version of the newest published configuration; 0 before the first publication.
     pub config_version: ConfigVersion,
     /// Digest of that configuration.
     pub config_digest: String,
-    /// Id of the publication, to resolve a lost answer.
+    /// Id of its publication, for resolving a lost response.
     pub publish_id: String,
-    /// Rises with each change of the member rows.
+    /// Incremented with each change of the member rows.
     pub members_version: u64,
-    /// Start of the window in which fencings are counted, since the Unix epoch.
+    /// Start of the current window of the fencing rate limit, since the Unix epoch.
     #[serde(default)]
     pub fence_window_unix_ms: u64,
-    /// Fencings in that window.
+    /// Number of members fenced in that window.
     #[serde(default)]
     pub fence_count: u32,
 }
@@ -31,11 +31,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Takes calls and owns shards.
+    /// Accepts calls and owns shards.
     Live,
-    /// Hands its shards over before it stops.
+    /// Releases its shards before a planned stop.
     Leaving,
-    /// Can commit nothing; its shards are free to claim.
+    /// Cannot commit anything; other members may claim its shards.
     Fenced,
 }
 
@@ -54,19 +54,20 @@
     pub region: RegionId,
     /// State.
     pub state: MemberState,
-    /// Member that may take this one's limit shares while it lives itself.
+    /// Member that reclaims this member's limit shares after it is fenced; no other member may do
+    /// so while the reclaimer itself is neither fenced nor removed.
     #[serde(default)]
     pub reclaimer: Option<IncarnationId>,
 }
 
-/// Part of a journal that belongs to a shard's history.
+/// Range of commits in one incarnation's journal that belongs to a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
     /// Incarnation that wrote the journal.
     pub incarnation: IncarnationId,
     /// First commit that may hold records of the shard.
     pub first_commit: CommitNumber,
-    /// First commit after the segment, or `None` while it is open.
+    /// First commit after the segment, or `None` while the segment is open.
     pub end_commit: Option<CommitNumber>,
 }
 
@@ -75,16 +76,16 @@
 pub struct ShardRow {
     /// Owning incarnation, or `None` after a release.
     pub owner: Option<IncarnationId>,
-    /// Rises with each change of owner; also the fencing number for engines.
+    /// Incremented with each change of owner; also the fencing number for model engines.
     pub epoch: u64,
-    /// Object with the state before the segments.
+    /// Key of the object with the shard's state before the segments.
     pub checkpoint: Option<String>,
-    /// Journal parts to replay, in order.
+    /// Journal segments to replay after loading the checkpoint, in order.
     pub segments: Vec<Segment>,
 }
 
 impl ShardRow {
-    /// Returns whether nothing was committed since the checkpoint, if `next` is the next commit.
+    /// Returns whether nothing was committed since the checkpoint, given the next commit number.
     #[must_use]
     pub fn is_checkpointed_at(&self, next: CommitNumber) -> bool {
         matches!(&self.segments[..], [segment] if segment.first_commit == next)
@@ -100,7 +101,7 @@
     pub member: Member,
 }
 
-/// Returns the live member of `region` that should own `shard`.
+/// Returns the live member of `region` that should own `shard`, chosen by rendezvous hashing.
 #[must_use]
 pub fn preferred_owner<'a>(
     members: impl IntoIterator<Item = &'a Member>,
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -1,4 +1,4 @@
-//! This node's row, the other members, and fencing.
+//! Membership of the fleet: registration, polling of the member rows, and fencing.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -17,12 +17,12 @@
     PlatformError, PlatformResult, Table, TableService, Transaction, TransactionOutcome, scan_all,
 };
 
-/// Window in which fencings are counted.
+/// Window of the fencing rate limit.
 const FENCE_WINDOW: Duration = Duration::from_secs(10);
-/// One in this many live members may be fenced within one window.
+/// At most one in this many unfenced members, rounded up, may be fenced within one window.
 const FENCE_FRACTION: usize = 4;
 
-/// The fleet's members as recorded in the table.
+/// A node's view of the fleet's members, as recorded in the table.
 pub struct Membership {
     table: Rc<dyn TableService>,
     clock: Rc<dyn Clock>,
@@ -57,25 +57,25 @@
         }
     }
 
-    /// Returns this node as last written to the table.
+    /// Returns this node's own entry as last written to the table.
     #[must_use]
     pub fn own_member(&self) -> Member {
         self.identity.borrow().clone()
     }
 
-    /// Returns the members as last read, fenced ones included.
+    /// Returns the members as last read, including fenced ones.
     #[must_use]
     pub fn members(&self) -> Rc<Vec<Member>> {
         Rc::clone(&self.members.borrow())
     }
 
-    /// Returns the head row as last read, and its changes.
+    /// Returns a receiver of the head row, which holds the row as last read.
     #[must_use]
     pub fn head(&self) -> watch::Receiver<Head> {
         self.head.subscribe()
     }
 
-    /// Returns the time since the head row was last read.
+    /// Returns the time since the head row was last read, or `None` before the first read.
     #[must_use]
     pub fn head_age(&self) -> Option<Duration> {
         let read_at = self.head_read_at.get()?;
@@ -99,9 +99,10 @@
         Ok(())
     }
 
-    /// Reads the head row and, if they changed, the member rows; returns whether they did.
+    /// Reads the head row and, if the members changed, their rows; returns whether they changed.
     ///
-    /// A return without error shows that this node was not fenced when the call began.
+    /// If the call succeeds and the node's incarnation is not marked as fenced afterwards, the node
+    /// was not fenced when the call started.
     ///
     /// # Errors
     ///
@@ -123,10 +124,10 @@
         Ok(true)
     }
 
-    /// Marks `target` as fenced, so that it can commit nothing more.
+    /// Marks `target` as fenced, so that it cannot commit anything more.
     ///
-    /// Returns whether the member is now fenced; too many fencings in a short time are put off,
-    /// so that a split network cannot fence most of the fleet.
+    /// Returns whether the member is now fenced. Fencing is rate limited, so that a network
+    /// partition cannot get most of the fleet fenced.
     ///
     /// # Errors
     ///
@@ -149,7 +150,7 @@
         Ok(done)
     }
 
-    /// Names the member that may take this node's limit shares, if the present one is gone.
+    /// Assigns a new reclaimer for this node's limit shares if the current one is not live.
     ///
     /// # Errors
     ///
@@ -176,7 +177,7 @@
         Ok(())
     }
 
-    /// Announces the planned stop; other members claim the shards as they are released.
+    /// Marks this node as leaving; other members claim its shards as it releases them.
     ///
     /// # Errors
     ///
@@ -193,7 +194,7 @@
         Ok(())
     }
 
-    /// Removes rows of members, such as this node's own after a planned stop.
+    /// Deletes member rows, such as this node's own after a planned stop.
     ///
     /// # Errors
     ///
@@ -250,10 +251,11 @@
         }
     }
 
-    /// Writes a member row and raises the membership version; returns whether it took effect.
+    /// Writes a member row and increments the membership version; returns whether both committed.
     ///
-    /// A write to another member's row requires that this node is not fenced; `fence_live` is the
-    /// number of live members and counts the write as a fencing.
+    /// `fence_live` is set for a write that fences another member and holds the number of unfenced
+    /// members. Such a write is subject to the fencing rate limit and fails if this node itself was
+    /// fenced.
     async fn write_member(
         &self,
         member: &Member,
@@ -292,7 +294,7 @@
     }
 }
 
-/// Counts one fencing in the head row; returns whether the window still allows it.
+/// Counts one fencing in the head row; returns whether the rate limit allows it.
 fn count_fencing(head: &mut Head, now_unix_ms: u64, live: usize) -> bool {
     if now_unix_ms.saturating_sub(head.fence_window_unix_ms) > millis(FENCE_WINDOW) {
         head.fence_window_unix_ms = now_unix_ms;
@@ -303,7 +305,7 @@
     head.fence_count as usize <= allowed
 }
 
-/// Reads the head row with its version; an absent row reads as the default.
+/// Reads the head row and its version; returns version 0 and the default if the row is absent.
 ///
 /// # Errors
 ///
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,4 +1,4 @@
-//! Ties the parts together: membership, heartbeats, shards, journal, programs, limits.
+//! A node of the fleet: combines membership, heartbeats, shards, journal, programs and limits.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 use crate::platform::{Platform, PlatformResult};
 use crate::shards::Shards;
 
-/// Age at which the row of a fenced member is removed.
+/// Time after which the row of a fenced member is deleted.
 const FENCED_ROW_AGE: Duration = Duration::from_secs(120);
 
 /// Settings of a node.
@@ -32,17 +32,17 @@
 pub struct NodeSettings {
     /// Time between two reads of the head row.
     pub head_poll_interval: Duration,
-    /// Journal writes a second that all nodes of a region may make together.
+    /// Journal writes per second allowed for all nodes of a region together.
     pub region_writes_per_s: u32,
     /// Number of shards per region; the same on all nodes.
     pub shard_count: u16,
-    /// Time between two checkpoints of the shards served.
+    /// Time between two checkpoints of the shards that the node serves.
     pub checkpoint_interval: Duration,
     /// Time for which ended programs stay readable.
     pub retention: Duration,
-    /// Journal bounds.
+    /// Journal settings.
     pub journal: JournalSettings,
-    /// Owner time bounds.
+    /// Settings of the owner of programs.
     pub owner: OwnerSettings,
     /// Failure detection.
     pub detector: DetectorSettings,
@@ -66,23 +66,23 @@
     }
 }
 
-/// Where a program is served.
+/// Location of the owner of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Location {
     /// On this node.
     Local,
     /// On the member with this forward address.
     Remote(String),
-    /// No owner is known yet.
+    /// Not on this node, and no other member is known as the owner.
     Unknown,
 }
 
-/// The configuration as the node needs it for its heartbeats.
+/// Access to the configuration, for the versions exchanged in heartbeats.
 pub trait ConfigWatcher {
     /// Returns the configuration in force.
     fn current(&self) -> Arc<ConfigSnapshot>;
 
-    /// Learns that a peer has a newer version.
+    /// Handles the report of a newer version at a peer.
     fn on_newer_version(&self, newer: NewerConfig);
 }
 
@@ -162,7 +162,7 @@
         })
     }
 
-    /// Returns the programs served by this node.
+    /// Returns the owner of the programs that this node serves.
     #[must_use]
     pub fn owner(&self) -> &Owner {
         &self.owner
@@ -198,13 +198,13 @@
         &self.limits
     }
 
-    /// Returns whether the node's shards are settled and the limits of `version` are prepared.
+    /// Returns whether the node's shards are reconciled and the limits of `version` are prepared.
     #[must_use]
     pub fn is_settled(&self, version: ConfigVersion) -> bool {
         self.shards_reconciled.get() && self.prepared_version.get() == version
     }
 
-    /// Answers a heartbeat of another member.
+    /// Replies to a heartbeat from another member.
     #[must_use]
     pub fn answer_heartbeat(
         &self,
@@ -223,8 +223,8 @@
 
     /// Returns where calls for a program of this home are served.
     ///
-    /// The shards of other regions are not followed here: their preferred owner is named, which
-    /// knows where a shard is that is just moving.
+    /// A node does not track the owners of shards in other regions. For those it returns the
+    /// preferred owner, which knows the actual owner while the shard is moving.
     #[must_use]
     pub fn locate(&self, home: &ProgramHome) -> Location {
         let is_own_region = home.region == self.membership.own_member().region;
@@ -258,13 +258,13 @@
         self.journal.fail_pending();
     }
 
-    /// Asks for a poll of the head row without waiting for its interval.
+    /// Requests a poll of the head row before the poll interval has passed.
     pub fn request_poll(&self) {
         self.shards_reconciled.set(false);
         self.poll_requested.notify_one();
     }
 
-    /// Begins the planned stop: hands over limit shares and then shards.
+    /// Starts a planned stop: hands over the limit shares and then the shards.
     ///
     /// # Errors
     ///
@@ -272,19 +272,19 @@
     pub async fn leave(&self) -> PlatformResult<()> {
         self.membership.announce_leaving().await?;
         self.limits.hand_over(&self.membership.members()).await?;
-        // Also without a successor, so that the last node of a fleet can stop.
+        // Shards are released even without a successor, so that the last node of a fleet can stop.
         self.shards.drain_all();
         self.request_poll();
         Ok(())
     }
 
-    /// Returns whether all shards were handed over.
+    /// Returns whether the node has released all its shards.
     #[must_use]
     pub fn has_released_all_shards(&self) -> bool {
         self.shards.held_count() == 0
     }
 
-    /// Removes the node's row after its shards were handed over.
+    /// Deletes the node's row; to be called once its shards are released.
     ///
     /// # Errors
     ///
@@ -293,7 +293,7 @@
         self.membership.remove(&[self.incarnation.id().to_owned()]).await
     }
 
-    /// Follows the head row and keeps membership and shards up to date.
+    /// Polls the head row, keeps membership and shards up to date and runs periodic maintenance.
     async fn run_polling(&self, config: &dyn ConfigWatcher) {
         let mut checkpoint_at = self.clock.monotonic() + self.settings.checkpoint_interval;
         loop {
@@ -337,7 +337,7 @@
         self.limits.reclaim(&members).await
     }
 
-    /// Returns the time between commits that keeps the region within its platform writes.
+    /// Returns the interval between commits that keeps the region within its write rate.
     fn commit_interval(&self) -> Duration {
         let region = self.membership.own_member().region;
         let members = self.membership.members();
@@ -362,7 +362,7 @@
         self.shards.reconcile(&assignment, &is_free).await
     }
 
-    /// Sends heartbeats and fences members that enough observers have found silent.
+    /// Sends heartbeats and fences the members that a quorum of their observers suspects.
     async fn run_heartbeats(&self, config: &dyn ConfigWatcher) {
         loop {
             let (own, members) = (self.membership.own_member(), self.membership.members());
@@ -392,7 +392,9 @@
         }
     }
 
-    /// Removes rows of members that were fenced long ago; one member does it for all.
+    /// Deletes the rows of members fenced for longer than `FENCED_ROW_AGE`.
+    ///
+    /// Only the live member with the lowest id does so.
     async fn remove_fenced(&self) -> PlatformResult<()> {
         let members = self.membership.members();
         let gone = self.limits.gone_for(FENCED_ROW_AGE, &members);
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -8,48 +8,49 @@
 use crate::config::publish::VersionRow;
 use crate::ids::{ConfigVersion, IncarnationId, TeamId};
 
-/// Sign of life from a member to one of its observers.
+/// Heartbeat from a member to one of its observers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Incarnation that sends.
+    /// Incarnation of the sender.
     pub from: IncarnationId,
     /// Configuration in force at the sender.
     pub config_version: ConfigVersion,
 }
 
-/// Answer to a [`Heartbeat`].
+/// Reply to a [`Heartbeat`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Incarnation that answers.
+    /// Incarnation of the replying node.
     pub from: IncarnationId,
-    /// Configuration in force there.
+    /// Configuration in force at the replying node.
     pub config_version: ConfigVersion,
-    /// Time for which the answering node promises not to reclaim the sender's limit shares.
+    /// Duration of the lease on the sender's limit shares; the replying node does not reclaim them
+    /// before it has expired.
     pub promise_ms: u64,
 }
 
-/// Answer to a request for tokens.
+/// Reply to a request for a rate limit token.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TakeReply {
-    /// The tokens were taken.
+    /// The token was taken.
     Taken,
-    /// Too few tokens; they accrue after this time.
+    /// No token is available yet.
     Empty {
-        /// Time until enough tokens have accrued.
+        /// Time until a token becomes available.
         wait_ms: u64,
     },
-    /// The node holds no usable share of the team.
+    /// The node holds no usable share of the team's limit.
     NotHolder,
 }
 
-/// Configuration as handed from node to node.
+/// Configuration update sent from node to node.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigTransfer {
-    /// Versions to apply in order; their changes are inline.
+    /// Versions to apply in order, with inline changes.
     Changes(Vec<VersionRow>),
-    /// A complete set.
+    /// A complete object set.
     Full {
         /// Version of the set.
         version: ConfigVersion,
@@ -72,10 +73,10 @@
     pub detail: String,
 }
 
-/// Control messages to other nodes; addresses are peer addresses of members.
+/// Client of the control messages between nodes; addresses are peer addresses of members.
 #[async_trait(?Send)]
 pub trait Peers {
-    /// Sends a sign of life.
+    /// Sends a heartbeat.
     ///
     /// # Errors
     ///
@@ -86,18 +87,19 @@
         heartbeat: &Heartbeat,
     ) -> Result<HeartbeatReply, PeerError>;
 
-    /// Asks whether the peer suspects `target` too.
+    /// Asks whether the peer also suspects `target`.
     ///
     /// # Errors
     ///
     /// Fails when the peer does not answer in time.
     async fn suspects(&self, address: &str, target: &str) -> Result<bool, PeerError>;
 
-    /// Takes a token of a team from the peer's share; `row_version` is the split known here.
+    /// Takes a token of a team from the peer's share; `row_version` is the version of the team's
+    /// limit row known to the caller.
     ///
     /// # Errors
     ///
-    /// Fails when the peer does not answer in time; the tokens may be lost.
+    /// Fails when the peer does not answer in time; the token may be lost.
     async fn take(
         &self,
         address: &str,
@@ -105,7 +107,7 @@
         row_version: u64,
     ) -> Result<TakeReply, PeerError>;
 
-    /// Tells the peer that it was given a share of a team's limit.
+    /// Notifies the peer that it received a share of a team's limit.
     ///
     /// # Errors
     ///
@@ -117,7 +119,7 @@
         row_version: u64,
     ) -> Result<(), PeerError>;
 
-    /// Asks for the configuration after `version`.
+    /// Fetches the configuration updates after `version`.
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/platform.rs
+++ b/crates/coordination/src/platform.rs
@@ -21,7 +21,7 @@
     Journal,
     /// One row per configuration version.
     Configs,
-    /// One row per limit holder assignment.
+    /// One row per team, with the split of its limit among the holders.
     Limits,
 }
 
@@ -30,7 +30,7 @@
 pub struct Row {
     /// Key within its table.
     pub key: String,
-    /// Number of the write that produced the row; 0 stands for an absent row.
+    /// Version of the write that produced the row; 0 stands for an absent row.
     pub version: u64,
     /// Stored value.
     pub value: Value,
@@ -58,12 +58,12 @@
     pub value: Option<Value>,
 }
 
-/// A set of writes applied together if every condition holds.
+/// A set of writes applied atomically if every condition holds.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// Conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// Writes, applied together.
+    /// Writes, applied atomically.
     pub writes: Vec<Write>,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// Definite result of a transaction.
+/// Known outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransactionOutcome {
@@ -111,7 +111,7 @@
         /// Cause as reported by the transport.
         detail: String,
     },
-    /// The answer was lost: the request may or may not have taken effect.
+    /// The response was lost; the request may or may not have taken effect.
     #[snafu(display(
         "the platform's answer was lost ({detail}); read the row back before relying on it"
     ))]
@@ -119,10 +119,10 @@
         /// Cause as reported by the transport.
         detail: String,
     },
-    /// The service answered in a form this adapter does not understand.
+    /// The response or a stored value is malformed.
     #[snafu(display("the platform's answer is malformed ({detail}); check its version"))]
     Malformed {
-        /// What was wrong with the answer.
+        /// Description of the fault in the response.
         detail: String,
     },
 }
@@ -204,11 +204,11 @@
 pub struct Vm {
     /// Address of the VM: a node's forward address or a backend server's address.
     pub address: String,
-    /// State, possibly out of date.
+    /// State, possibly stale.
     pub state: VmState,
 }
 
-/// Lagging list of live and leaving VMs.
+/// The platform's list of live and leaving VMs, which may be stale.
 #[async_trait(?Send)]
 pub trait VmList {
     /// Returns the list as the platform currently reports it.
@@ -255,7 +255,7 @@
     }
 }
 
-/// Query of a read of one row over HTTP.
+/// Query parameters for reading one row over HTTP.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct KeyQuery {
     /// Table of the row.
@@ -264,15 +264,15 @@
     pub key: String,
 }
 
-/// Query of a read of a range of rows over HTTP.
+/// Query parameters for reading a range of rows over HTTP.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ScanQuery {
     /// Table of the rows.
     pub table: Table,
     /// Prefix of the keys.
     pub prefix: String,
-    /// Key before the first row.
+    /// Key after which the range starts, exclusive.
     pub after: String,
-    /// Most rows to return.
+    /// Maximum number of rows to return.
     pub limit: usize,
 }
