--- a/crates/coordination/src/config/check.rs
+++ b/crates/coordination/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks a whole object set: references, cycles, ranges.
+//! Validation of an object set: references, cycles and ranges.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -8,23 +8,23 @@
 
 use super::objects::{Backend, Key, ObjectSet, Route, Team};
 
-/// Place in a file.
+/// Position in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// File as named by the operator.
+    /// File name as given by the operator.
     pub file: String,
-    /// Line, from 1.
+    /// Line number, starting at 1.
     pub line: usize,
 }
 
-/// One fault of an object set.
+/// A fault in an object set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Where the object stands, when it came from a file.
+    /// Position of the object or field, if it was read from a file.
     pub position: Option<Position>,
     /// Object and field, such as `route.desk.service`.
     pub object: String,
-    /// What is wrong and what to write instead.
+    /// Description of the fault and how to fix it.
     pub message: String,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns every fault of `set`; an empty list means that it can be published.
+/// Returns every fault in `set`; a set without faults can be published.
 #[must_use]
 pub fn check(set: &ObjectSet) -> Vec<Problem> {
     let mut checker = Checker { set, problems: Vec::new() };
--- a/crates/coordination/src/config/files.rs
+++ b/crates/coordination/src/config/files.rs
@@ -1,4 +1,4 @@
-//! Object files in TOML: `[kind.name]` tables, spread over any number of files.
+//! Parsing of TOML object files, whose `[kind.name]` tables may be split over several files.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 use super::check::{Position, Problem, check};
 use super::objects::{Backend, Budget, Key, Limit, Model, ObjectSet, Route, Service, Team};
 
-/// Parses one object of a kind and returns its canonical value.
+/// Function that parses one object of a kind and returns it in canonical form.
 type ParseObject = fn(toml::Value) -> Result<Value, String>;
 
 const KINDS: &[(&str, ParseObject)] = &[
@@ -24,7 +24,7 @@
     ("limit", parse_object::<Limit>),
 ];
 
-/// Object files as read by the operator's tool.
+/// Collects the objects of a set from the text of TOML files.
 ///
 /// ```
 /// use dandelionfront_coordination::config::ObjectFiles;
@@ -41,7 +41,7 @@
 }
 
 impl ObjectFiles {
-    /// Adds the text of one file.
+    /// Parses the text of one file and adds its objects.
     pub fn add(&mut self, file: &str, text: &str) {
         let table = match DeTable::parse(text) {
             Ok(table) => table,
@@ -73,11 +73,11 @@
         }
     }
 
-    /// Returns the complete set, or every fault found.
+    /// Validates and returns the complete set.
     ///
     /// # Errors
     ///
-    /// Returns all faults of syntax, references, cycles and ranges with file and line.
+    /// Returns all syntax, reference, cycle and range faults, with file and line where known.
     pub fn finish(mut self) -> Result<ObjectSet, Vec<Problem>> {
         let values = serde_json::to_value(&self.values).unwrap_or_default();
         match serde_json::from_value::<ObjectSet>(values) {
@@ -106,13 +106,13 @@
         let object = format!("{kind}.{name}");
         if let Some(earlier) = self.positions.get(&object).cloned() {
             let message = format!(
-                "is defined in {}:{} as well; keep one of them",
+                "is also defined in {}:{}; keep one of the definitions",
                 earlier.file, earlier.line
             );
             return self.report(Some(position), &object, &message);
         }
         self.positions.insert(object.clone(), position.clone());
-        match value.ok_or_else(|| "write a table".to_owned()).and_then(parse) {
+        match value.ok_or_else(|| "expected a table of fields".to_owned()).and_then(parse) {
             Ok(value) => {
                 self.values.entry(kind.to_owned()).or_default().insert(name.to_owned(), value);
             }
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Returns the position of a field, or of its object when the field is not written.
+    /// Returns the position of a field, or of its object if the field is absent from the file.
     fn position_of(&self, path: &str) -> Option<Position> {
         let object = || path.rsplit_once('.').map(|(object, _)| object);
         self.positions.get(path).or_else(|| self.positions.get(object()?)).cloned()
--- a/crates/coordination/src/config/mod.rs
+++ b/crates/coordination/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' objects: files, checks, versions and their publication.
+//! Configuration objects: parsing, validation, and publication of versions.
 
 pub mod check;
 pub mod files;
--- a/crates/coordination/src/config/objects.rs
+++ b/crates/coordination/src/config/objects.rs
@@ -1,4 +1,4 @@
-//! The objects that operators create.
+//! The configuration objects that operators define.
 
 use std::collections::BTreeMap;
 
@@ -11,12 +11,12 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Limit that bounds the team's requests over all nodes together.
+    /// Rate limit of the team's requests, enforced over all nodes together.
     pub limit: String,
-    /// Budget of each of the team's programs; none leaves them unbounded.
+    /// Token budget of each of the team's programs; `None` means unlimited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub budget: Option<String>,
-    /// Share of the engines under contention, relative to other teams.
+    /// Weight of the team relative to others when teams contend for model engines.
     #[serde(default = "default_weight")]
     pub weight: u32,
 }
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Key {
-    /// Team whose requests the key admits.
+    /// Team that the key authenticates.
     pub team: TeamId,
     /// Lowercase hexadecimal SHA-256 digest of the key.
     pub sha256: String,
@@ -38,13 +38,13 @@
     pub withdrawn: bool,
 }
 
-/// A model that engines serve.
+/// A model served by model engines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Most tokens of prompt and completion together.
+    /// Maximum number of prompt and completion tokens together.
     pub context_tokens: u64,
-    /// Completion bound of calls that name none.
+    /// Maximum number of completion tokens of calls that do not set one.
     #[serde(default = "default_completion_tokens")]
     pub default_completion_tokens: u64,
 }
@@ -53,23 +53,23 @@
     1024
 }
 
-/// A plain service beside the engines.
+/// A plain service, as opposed to a model.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// What the service does, for operators.
+    /// Description of the service for operators.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub description: String,
 }
 
-/// Whether a backend server gets new work.
+/// Whether a backend server receives new calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BackendState {
-    /// Gets new work.
+    /// Receives new calls.
     #[default]
     Active,
-    /// Finishes what it has and gets nothing new.
+    /// Finishes its calls in flight and receives no new ones.
     Draining,
 }
 
@@ -81,15 +81,15 @@
     pub address: String,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Models or services that the backend server offers.
+    /// Models or services that the backend server provides.
     pub serves: Vec<String>,
-    /// Whether the backend server gets new work.
+    /// Whether the backend server receives new calls.
     #[serde(default)]
     pub state: BackendState,
-    /// Whether the backend server refuses orders with an old fencing number.
+    /// Whether the backend server rejects requests with a stale fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Calls that the backend server executes at once.
+    /// Maximum number of calls that the backend server executes concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
@@ -117,7 +117,7 @@
     /// Whether a call may be executed more than once.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub repeatable: bool,
-    /// Route to use while no backend server of this one is active.
+    /// Route to use while this one has no active backend server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fallback: Option<RouteId>,
 }
@@ -126,17 +126,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Most tokens that a program and its sub-agents may spend.
+    /// Maximum number of tokens that a program and its sub-agents may spend.
     pub program_tokens: u64,
 }
 
-/// Rate limit of a team over all nodes together.
+/// Rate limit of a team, enforced over all nodes together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
-    /// Requests per second in the long run.
+    /// Sustained number of requests per second.
     pub rate_per_s: f64,
-    /// Requests at once.
+    /// Maximum number of requests in a burst.
     pub burst: u32,
 }
 
@@ -162,14 +162,14 @@
     pub limit: BTreeMap<String, Limit>,
 }
 
-/// One object that differs between two versions.
+/// An object that differs between two versions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Kind of the object, such as `team`.
     pub kind: String,
     /// Name of the object.
     pub name: String,
-    /// New value, or `None` when the object was removed.
+    /// New value, or `None` if the object was removed.
     pub value: Option<Value>,
 }
 
@@ -182,7 +182,7 @@
         self.flat().values().map(BTreeMap::len).sum()
     }
 
-    /// Returns whether the set holds no object.
+    /// Returns whether the set holds no objects.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
@@ -216,11 +216,11 @@
         changes
     }
 
-    /// Returns the set after `changes`.
+    /// Returns the set with `changes` applied.
     ///
     /// # Errors
     ///
-    /// Fails when a change names an unknown kind or holds a malformed object.
+    /// Fails when a change has an unknown kind or holds a malformed object.
     pub fn apply(&self, changes: &[Change]) -> Result<Self, serde_json::Error> {
         let mut flat = self.flat();
         for change in changes {
--- a/crates/coordination/src/config/publish.rs
+++ b/crates/coordination/src/config/publish.rs
@@ -1,4 +1,4 @@
-//! Publication of versions and how nodes follow them.
+//! Publication and retrieval of configuration versions.
 
 use std::time::Duration;
 
@@ -17,38 +17,38 @@
     Platform, PlatformError, PlatformResult, Table, Transaction, TransactionOutcome, scan_all,
 };
 
-/// Changes above this size go to the object store.
+/// Changes larger than this are stored in the object store.
 const INLINE_MAX_BYTES: usize = 64 * 1024;
-/// A complete set is stored with every version that is a multiple of this.
+/// The complete set is stored with every version that is a multiple of this.
 const FULL_SET_INTERVAL: u64 = 64;
 
 /// Value of a configuration row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRow {
-    /// Version.
+    /// Version number.
     pub version: ConfigVersion,
     /// Digest of the complete set.
     pub digest: String,
-    /// Id chosen by the publisher.
+    /// Id chosen by the publisher, for detecting repeated publications.
     pub publish_id: String,
-    /// Who published, as given by the operator.
+    /// Author of the publication, as given by the operator.
     pub author: String,
     /// Time of publication, since the Unix epoch.
     pub published_unix_ms: u64,
     /// Number of changed objects.
     pub change_count: usize,
-    /// Changes against the previous version, as JSON.
+    /// Changes from the previous version, as JSON.
     pub changes: Body,
-    /// Object with the complete set, for some versions.
+    /// Key of the object with the complete set, if one was stored.
     pub full_set: Option<String>,
 }
 
 /// An accepted publication.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
-    /// Version that was accepted.
+    /// Version under which it was accepted.
     pub version: ConfigVersion,
-    /// Digest of its objects.
+    /// Digest of the complete set.
     pub digest: String,
     /// Number of objects that changed.
     pub change_count: usize,
@@ -65,24 +65,24 @@
 pub struct Publication {
     /// Version that the objects were derived from.
     pub base_version: ConfigVersion,
-    /// Id that tells a repeated publication from another one.
+    /// Id that identifies a publication when it is retried.
     pub publish_id: String,
-    /// Who publishes.
+    /// Author of the publication.
     pub author: String,
     /// Complete set of objects.
     pub objects: ObjectSet,
 }
 
-/// Why a publication was not accepted.
+/// Failure of a publication.
 #[derive(Debug, Snafu)]
 pub enum PublishError {
     /// The set has faults.
     #[snafu(display("the objects have {} faults; mend them and publish again", problems.len()))]
     Invalid {
-        /// All faults.
+        /// The faults.
         problems: Vec<Problem>,
     },
-    /// Another operator published first.
+    /// Another publication was accepted first.
     #[snafu(display(
         "version {version} by {author} came first; run `dandelionctl show`, merge your change and \
          publish again"
@@ -90,20 +90,20 @@
     Conflict {
         /// Version in force.
         version: ConfigVersion,
-        /// Who published it.
+        /// Author of that version.
         author: String,
     },
-    /// The platform failed; the same publish id can be sent again.
+    /// The platform failed; the publication can be retried with the same publish id.
     #[snafu(display(
         "the outcome is not known ({source}); publish again with the same --publish-id"
     ))]
     Platform {
-        /// Cause.
+        /// Failure of the platform call.
         source: PlatformError,
     },
 }
 
-/// Versions as kept in the platform.
+/// Store of the configuration versions in the platform.
 #[derive(Clone)]
 pub struct ConfigStore {
     platform: Platform,
@@ -116,7 +116,9 @@
         Self { platform }
     }
 
-    /// Publishes a set as the version after its base and returns the version's row.
+    /// Publishes a set as the version after its base version and returns the row of that version.
+    ///
+    /// Returns the existing row if the same publication was already accepted.
     ///
     /// # Errors
     ///
@@ -153,8 +155,10 @@
         }
     }
 
-    /// Returns the newest version with its objects, starting from what the caller already has, and
-    /// the rows of the versions that were applied one by one.
+    /// Brings the caller's objects from version `from` up to version `to`.
+    ///
+    /// Returns the version reached, its objects and the rows of the versions applied one by one,
+    /// which exclude those skipped by loading a complete set.
     ///
     /// # Errors
     ///
@@ -180,7 +184,7 @@
         Ok((version, objects, rows))
     }
 
-    /// Returns the newest version that was accepted.
+    /// Returns the newest published version.
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/config/snapshot.rs
+++ b/crates/coordination/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! One published version, indexed for requests.
+//! A published configuration version, indexed for request handling.
 
 use std::collections::HashMap;
 
@@ -15,7 +15,7 @@
     keys_by_digest: HashMap<String, String>,
 }
 
-/// Caller as established by its key.
+/// A caller authenticated by its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Caller {
     /// Team of the key.
@@ -33,7 +33,7 @@
         Self { version, digest: objects.digest(), objects, keys_by_digest }
     }
 
-    /// Returns the version; 0 stands for no configuration.
+    /// Returns the version; 0 means that there is no configuration yet.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.version
@@ -51,7 +51,7 @@
         &self.objects
     }
 
-    /// Returns the caller that presents `key`.
+    /// Returns the caller authenticated by `key`.
     ///
     /// # Errors
     ///
@@ -71,11 +71,11 @@
         Ok(Caller { team: key.team.clone(), key_name: key_name.clone() })
     }
 
-    /// Checks that the key behind `caller` still admits requests in this version.
+    /// Checks that the key of `caller` is still valid in this version.
     ///
     /// # Errors
     ///
-    /// Refuses keys that were withdrawn, removed or given to another team.
+    /// Refuses keys that were withdrawn, removed or assigned to another team.
     pub fn recheck(&self, caller: &Caller) -> Result<(), Refusal> {
         match self.objects.key.get(&caller.key_name) {
             Some(key) if key.team == caller.team => check_withdrawn(key),
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Refuses unknown routes and those of other teams with the same answer.
+    /// Refuses unknown routes and routes of other teams with the same message.
     pub fn route(&self, name: &str, team: Option<&str>) -> Result<&Route, Refusal> {
         let allowed = |route: &&Route| {
             route.open || team.is_some_and(|team| route.teams.iter().any(|name| name == team))
@@ -119,7 +119,7 @@
     if key.withdrawn { Err(key_withdrawn()) } else { Ok(()) }
 }
 
-/// Creates the refusal of a request whose key was withdrawn before it ran.
+/// Creates the refusal of a request whose key was withdrawn before the request ran.
 fn key_withdrawn() -> Refusal {
     Refusal::not_run(
         RefusalKind::KeyWithdrawn,
