--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -177,7 +177,7 @@
         self.table.has_running_calls(shard)
     }
 
-    /// Inserts recovered programs and records the attempts whose end is not recorded.
+    /// Inserts recovered programs and records an end for each attempt that has none.
     ///
     /// Such an attempt is recorded as failed if it is repeatable and as in doubt otherwise. Its
     /// program starts no call for one dispatch window, in which the previous owner may still send
