--- a/crates/coordination/src/freshness.rs
+++ b/crates/coordination/src/freshness.rs
@@ -9,19 +9,19 @@
 #[derive(Debug, Clone)]
 pub struct Freshness {
     valid_for: Duration,
-    proved_at: Option<Duration>,
+    confirmed_at: Option<Duration>,
 }
 
 impl Freshness {
     /// Creates an unproved state for keys that must stop working within `key_withdrawal`.
     #[must_use]
     pub fn new(key_withdrawal: Duration) -> Self {
-        Self { valid_for: key_withdrawal.saturating_sub(WITHDRAWAL_MARGIN), proved_at: None }
+        Self { valid_for: key_withdrawal.saturating_sub(WITHDRAWAL_MARGIN), confirmed_at: None }
     }
 
     /// Records that the store had no newer configuration at `asked_at`, when it was asked.
-    pub fn prove(&mut self, asked_at: Duration) {
-        self.proved_at = self.proved_at.max(Some(asked_at));
+    pub fn confirm(&mut self, asked_at: Duration) {
+        self.confirmed_at = self.confirmed_at.max(Some(asked_at));
     }
 
     /// Returns whether keys may be accepted at `now`.
@@ -33,6 +33,6 @@
     /// Returns the time since the last proof, or `None` before the first.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        self.proved_at.map(|proved_at| now.saturating_sub(proved_at))
+        self.confirmed_at.map(|confirmed_at| now.saturating_sub(confirmed_at))
     }
 }
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -25,27 +25,27 @@
 const CONFLICTS_MAX: u32 = 16;
 
 /// Writes turned away for calling too often after which a reservation is given up.
-const BUSY_MAX: u32 = 5;
+const RATE_LIMIT_RETRIES_MAX: u32 = 5;
 /// Shortest and longest pause after such a write.
-const BUSY_PAUSE_MS: std::ops::Range<u64> = 20..120;
+const RATE_LIMIT_BACKOFF_MS: std::ops::Range<u64> = 20..120;
 /// HTTP status of a call that is turned away for calling too often.
-const BUSY_STATUS: u16 = 429;
+const RATE_LIMIT_STATUS: u16 = 429;
 /// Reads after which a row whose answers are lost counts as unreadable.
-const READ_TRIES: u32 = 4;
+const READ_ATTEMPTS_MAX: u32 = 4;
 /// Most turns that a claim covers beside the one that asked for it: what a killed node leaves
 /// claimed is lost to its programs.
 const TURNS_AHEAD_MAX: u64 = 2;
 /// Part of the unclaimed budget that a claim covers ahead, so that another node finds some.
-const AHEAD_SHARE: u64 = 2;
+const AHEAD_DIVISOR: u64 = 2;
 /// Times that other nodes are asked to give back what they do not use.
-const ASKS_MAX: u32 = 2;
+const RELEASE_ROUNDS_MAX: u32 = 2;
 /// Time after a round of requests that did not help before the next one for the program; doubles
 /// with each, because a program that loops without end asks for ever.
-const ASK_INTERVAL: Duration = Duration::from_millis(250);
+const RELEASE_BACKOFF_MIN: Duration = Duration::from_millis(250);
 /// Longest such time.
-const ASK_INTERVAL_MAX: Duration = Duration::from_secs(4);
+const RELEASE_BACKOFF_MAX: Duration = Duration::from_secs(4);
 /// Time in which a node that was asked writes the row.
-const ASK_PAUSE: Duration = Duration::from_millis(25);
+const RELEASE_WAIT: Duration = Duration::from_millis(25);
 
 /// Identifier of one run of a node, as in claims.
 pub type ClaimantId = String;
@@ -103,20 +103,20 @@
 }
 
 #[derive(Debug, Default)]
-struct Cached {
+struct CachedLedger {
     row_version: u64,
     ledger: Ledger,
     /// Tokens delivered by ended turns within the claim, not yet settled in the row.
-    used_tokens: u64,
+    unsettled_tokens: u64,
     /// Most tokens of the turns under way.
     running_tokens: u64,
     used_at: Duration,
     /// Time before which other nodes are not asked again to give back claims.
-    ask_after: Duration,
+    next_release_request_at: Duration,
     /// Rounds of such requests in a row that did not help.
-    vain_asks: u32,
+    failed_release_rounds: u32,
     /// Whether this node has read or written the row since it last forgot it.
-    is_known: bool,
+    is_loaded: bool,
     /// A write whose answer was lost: it may take effect seconds later.
     pending: Option<PendingWrite>,
 }
@@ -125,23 +125,23 @@
 struct PendingWrite {
     ledger: Ledger,
     /// Used tokens that the write settles.
-    used_tokens: u64,
+    unsettled_tokens: u64,
 }
 
-impl Cached {
+impl CachedLedger {
     /// Returns the row as it would be with this node's claim reduced to what runs.
     fn settled(&self, claimant: &str) -> Ledger {
         let mut next = self.ledger.clone();
-        next.settled_tokens = next.settled_tokens.saturating_add(self.used_tokens);
+        next.settled_tokens = next.settled_tokens.saturating_add(self.unsettled_tokens);
         next.set_claim(claimant, self.running_tokens);
         next
     }
 
     /// Puts the next round of requests to other nodes off.
-    fn note_vain_ask(&mut self) {
-        let pause = ASK_INTERVAL * 2_u32.saturating_pow(self.vain_asks);
-        self.ask_after = self.used_at + pause.min(ASK_INTERVAL_MAX);
-        self.vain_asks += 1;
+    fn back_off_release_requests(&mut self) {
+        let backoff = RELEASE_BACKOFF_MIN * 2_u32.saturating_pow(self.failed_release_rounds);
+        self.next_release_request_at = self.used_at + backoff.min(RELEASE_BACKOFF_MAX);
+        self.failed_release_rounds += 1;
     }
 
     fn own_claim(&self, claimant: &str) -> u64 {
@@ -153,7 +153,7 @@
 pub trait ClaimHolders {
     /// Asks `holders` to give back what they do not use of `program`; returns whether any of them
     /// could be asked.
-    fn ask(&self, program: &str, holders: &[ClaimantId]) -> bool;
+    fn request_release(&self, program: &str, holders: &[ClaimantId]) -> bool;
 }
 
 /// Ledgers of the programs that this node serves.
@@ -162,7 +162,7 @@
     clock: Rc<dyn Clock>,
     claimant: ClaimantId,
     holders: Rc<dyn ClaimHolders>,
-    programs: RefCell<HashMap<String, Rc<Mutex<Cached>>>>,
+    programs: RefCell<HashMap<String, Rc<Mutex<CachedLedger>>>>,
 }
 
 impl Ledgers {
@@ -177,7 +177,7 @@
         Self { store, clock, claimant, holders, programs: RefCell::default() }
     }
 
-    /// Reserves `most_tokens` for a turn of `program`; returns whether it is the program's first.
+    /// Reserves `tokens_max` for a turn of `program`; returns whether it is the program's first.
     ///
     /// # Errors
     ///
@@ -185,19 +185,19 @@
     pub async fn reserve(
         &self,
         program: &str,
-        most_tokens: u64,
+        tokens_max: u64,
         budget_tokens: u64,
     ) -> Result<bool, ReserveError> {
         let cached = self.cached(program);
         let mut cached = cached.lock().await;
         cached.used_at = self.clock.monotonic();
-        let needed = cached.used_tokens + cached.running_tokens + most_tokens;
+        let needed = cached.unsettled_tokens + cached.running_tokens + tokens_max;
         if needed <= cached.own_claim(&self.claimant) {
-            cached.running_tokens += most_tokens;
+            cached.running_tokens += tokens_max;
             return Ok(false);
         }
-        let delivered_tokens = cached.ledger.settled_tokens + cached.used_tokens;
-        if delivered_tokens.saturating_add(most_tokens) > budget_tokens {
+        let delivered_tokens = cached.ledger.settled_tokens + cached.unsettled_tokens;
+        if delivered_tokens.saturating_add(tokens_max) > budget_tokens {
             // What was delivered only grows, so no other node can give enough back.
             let next = cached.settled(&self.claimant);
             self.log_spent(program, &cached, &next, budget_tokens);
@@ -205,46 +205,48 @@
             return Err(ReserveError::BudgetSpent { committed_tokens, budget_tokens });
         }
         let mut is_current = false;
-        let mut asks_left = if cached.used_at >= cached.ask_after { ASKS_MAX } else { 0 };
-        let mut turned_away = 0;
+        let mut release_rounds_left =
+            if cached.used_at >= cached.next_release_request_at { RELEASE_ROUNDS_MAX } else { 0 };
+        let mut rate_limited_writes = 0;
         for _ in 0..CONFLICTS_MAX {
             let mut next = cached.settled(&self.claimant);
             let committed_tokens = next.committed_tokens();
             let Some(unclaimed) =
-                budget_tokens.checked_sub(committed_tokens.saturating_add(most_tokens))
+                budget_tokens.checked_sub(committed_tokens.saturating_add(tokens_max))
             else {
                 // Another node may have given tokens back since the row was seen.
                 if is_current {
-                    let own_tokens = next.settled_tokens + cached.running_tokens + most_tokens;
-                    let is_asked = own_tokens <= budget_tokens
-                        && asks_left > 0
-                        && self.ask_others(program, &next);
-                    if !is_asked {
+                    let own_tokens = next.settled_tokens + cached.running_tokens + tokens_max;
+                    let is_requested = own_tokens <= budget_tokens
+                        && release_rounds_left > 0
+                        && self.request_release(program, &next);
+                    if !is_requested {
                         self.log_spent(program, &cached, &next, budget_tokens);
                         return Err(ReserveError::BudgetSpent { committed_tokens, budget_tokens });
                     }
-                    asks_left -= 1;
-                    if asks_left == 0 {
-                        cached.note_vain_ask();
+                    release_rounds_left -= 1;
+                    if release_rounds_left == 0 {
+                        cached.back_off_release_requests();
                     }
-                    self.clock.sleep(ASK_PAUSE).await;
+                    self.clock.sleep(RELEASE_WAIT).await;
                 }
                 self.refresh(program, &mut cached).await?;
                 is_current = true;
                 continue;
             };
-            let ahead = most_tokens.saturating_mul(TURNS_AHEAD_MAX).min(unclaimed / AHEAD_SHARE);
-            let claim = cached.running_tokens + most_tokens + ahead;
+            let ahead = tokens_max.saturating_mul(TURNS_AHEAD_MAX).min(unclaimed / AHEAD_DIVISOR);
+            let claim = cached.running_tokens + tokens_max + ahead;
             next.set_claim(&self.claimant, claim);
             let is_first = cached.row_version == 0;
             is_current = true;
             let written = match self.write(program, &mut cached, next).await {
                 Err(ReserveError::Store { source: RowStoreError::Refused { status } })
-                    if status == BUSY_STATUS && turned_away < BUSY_MAX =>
+                    if status == RATE_LIMIT_STATUS
+                        && rate_limited_writes < RATE_LIMIT_RETRIES_MAX =>
                 {
-                    turned_away += 1;
-                    let pause_ms = rand::random_range(BUSY_PAUSE_MS);
-                    self.clock.sleep(Duration::from_millis(pause_ms)).await;
+                    rate_limited_writes += 1;
+                    let backoff_ms = rand::random_range(RATE_LIMIT_BACKOFF_MS);
+                    self.clock.sleep(Duration::from_millis(backoff_ms)).await;
                     continue;
                 }
                 written => written?,
@@ -257,8 +259,8 @@
                     cached.ledger.settled_tokens,
                     unclaimed - ahead,
                 );
-                cached.running_tokens += most_tokens;
-                cached.vain_asks = 0;
+                cached.running_tokens += tokens_max;
+                cached.failed_release_rounds = 0;
                 return Ok(is_first);
             }
         }
@@ -266,14 +268,14 @@
     }
 
     /// Asks the nodes with claims other than this one; returns whether any could be asked.
-    fn ask_others(&self, program: &str, ledger: &Ledger) -> bool {
+    fn request_release(&self, program: &str, ledger: &Ledger) -> bool {
         let claimants = ledger.claimed_tokens.keys();
         let others: Vec<ClaimantId> =
             claimants.filter(|claimant| **claimant != self.claimant).cloned().collect();
-        !others.is_empty() && self.holders.ask(program, &others)
+        !others.is_empty() && self.holders.request_release(program, &others)
     }
 
-    fn log_spent(&self, program: &str, cached: &Cached, ledger: &Ledger, budget_tokens: u64) {
+    fn log_spent(&self, program: &str, cached: &CachedLedger, ledger: &Ledger, budget_tokens: u64) {
         log::info!(
             "event=budget_spent program={program} claimant={} row_version={} settled={} \
              claims=\"{:?}\" budget={budget_tokens}",
@@ -284,17 +286,17 @@
         );
     }
 
-    /// Records that a turn that reserved `most_tokens` ended after `delivered_tokens`.
-    pub async fn settle(&self, program: &str, most_tokens: u64, delivered_tokens: u64) {
+    /// Records that a turn that reserved `tokens_max` ended after `delivered_tokens`.
+    pub async fn settle(&self, program: &str, tokens_max: u64, delivered_tokens: u64) {
         let cached = self.cached(program);
         let mut cached = cached.lock().await;
         cached.used_at = self.clock.monotonic();
-        cached.running_tokens = cached.running_tokens.saturating_sub(most_tokens);
-        cached.used_tokens += delivered_tokens;
+        cached.running_tokens = cached.running_tokens.saturating_sub(tokens_max);
+        cached.unsettled_tokens += delivered_tokens;
     }
 
     /// Gives back what this node does not use of `program`, for a node that asked.
-    pub async fn give_back(&self, program: &str) {
+    pub async fn release_unused(&self, program: &str) {
         let known = self.programs.borrow().get(program).cloned();
         let Some(known) = known else { return };
         let mut cached = known.lock().await;
@@ -303,7 +305,7 @@
 
     /// Gives back what this node does not use of programs with a turn since `used_since`, a
     /// monotonic time; returns the rows written.
-    pub async fn give_back_all(&self, used_since: Duration) -> usize {
+    pub async fn release_unused_since(&self, used_since: Duration) -> usize {
         let mut written = 0;
         for (program, known) in self.known_programs() {
             let mut cached = known.lock().await;
@@ -326,7 +328,7 @@
     }
 
     /// Writes the row with this node's claim reduced to what runs; returns whether it did.
-    async fn settle_row(&self, program: &str, cached: &mut Cached) -> bool {
+    async fn settle_row(&self, program: &str, cached: &mut CachedLedger) -> bool {
         for _ in 0..CONFLICTS_MAX {
             if cached.own_claim(&self.claimant) == cached.running_tokens {
                 return false;
@@ -345,12 +347,12 @@
         false
     }
 
-    fn known_programs(&self) -> Vec<(String, Rc<Mutex<Cached>>)> {
+    fn known_programs(&self) -> Vec<(String, Rc<Mutex<CachedLedger>>)> {
         let programs = self.programs.borrow();
         programs.iter().map(|(id, cached)| (id.clone(), Rc::clone(cached))).collect()
     }
 
-    fn cached(&self, program: &str) -> Rc<Mutex<Cached>> {
+    fn cached(&self, program: &str) -> Rc<Mutex<CachedLedger>> {
         let mut programs = self.programs.borrow_mut();
         Rc::clone(programs.entry(program.to_owned()).or_default())
     }
@@ -359,7 +361,7 @@
     async fn write(
         &self,
         program: &str,
-        cached: &mut Cached,
+        cached: &mut CachedLedger,
         next: Ledger,
     ) -> Result<bool, ReserveError> {
         let value = serde_json::to_vec(&next).map_err(|error| malformed(&error))?;
@@ -373,10 +375,10 @@
         };
         match self.store.write(write).await {
             Ok(RowRead::Written(version)) => {
-                cached.is_known = true;
+                cached.is_loaded = true;
                 cached.row_version = version;
                 cached.ledger = next;
-                cached.used_tokens = 0;
+                cached.unsettled_tokens = 0;
                 cached.pending = None;
                 Ok(true)
             }
@@ -385,8 +387,8 @@
                 Ok(cached.ledger == next)
             }
             Err(RowStoreError::AnswerLost { .. }) => {
-                let used_tokens = cached.used_tokens;
-                cached.pending = Some(PendingWrite { ledger: next.clone(), used_tokens });
+                let unsettled_tokens = cached.unsettled_tokens;
+                cached.pending = Some(PendingWrite { ledger: next.clone(), unsettled_tokens });
                 // The row tells whether the write took effect; if it comes later, its condition
                 // fails against whatever is written next.
                 self.refresh(program, cached).await?;
@@ -396,21 +398,21 @@
         }
     }
 
-    async fn refresh(&self, program: &str, cached: &mut Cached) -> Result<(), ReserveError> {
+    async fn refresh(&self, program: &str, cached: &mut CachedLedger) -> Result<(), ReserveError> {
         let part = part_of(program, LEDGER_PARTS);
-        let mut tries_left = READ_TRIES;
+        let mut attempts_left = READ_ATTEMPTS_MAX;
         loop {
-            tries_left -= 1;
+            attempts_left -= 1;
             match self.store.get(LEDGER_TABLE, &part, program).await {
                 Ok(row) => return cached.adopt(row, &self.claimant),
-                Err(RowStoreError::AnswerLost { .. }) if tries_left > 0 => {}
+                Err(RowStoreError::AnswerLost { .. }) if attempts_left > 0 => {}
                 Err(source) => return Err(ReserveError::Store { source }),
             }
         }
     }
 }
 
-impl Cached {
+impl CachedLedger {
     /// Takes over the current row.
     ///
     /// A claim from before this node forgot the program counts as used.
@@ -426,11 +428,11 @@
         self.row_version = version;
         self.ledger = ledger;
         if let Some(pending) = own_write {
-            self.used_tokens = self.used_tokens.saturating_sub(pending.used_tokens);
-        } else if !self.is_known {
-            self.used_tokens = self.own_claim(claimant);
+            self.unsettled_tokens = self.unsettled_tokens.saturating_sub(pending.unsettled_tokens);
+        } else if !self.is_loaded {
+            self.unsettled_tokens = self.own_claim(claimant);
         }
-        self.is_known = true;
+        self.is_loaded = true;
         Ok(())
     }
 }
--- a/crates/coordination/src/limits/escrow.rs
+++ b/crates/coordination/src/limits/escrow.rs
@@ -11,7 +11,7 @@
 use rand::seq::SliceRandom as _;
 
 use super::bucket::Bucket;
-use super::reclaim::GoneMembers;
+use super::reclaim::LostMembers;
 use super::shares::{LimitRow, holder_count, preferred_holders, share_limits};
 use crate::clock::{Clock, millis};
 use crate::config::ConfigSnapshot;
@@ -30,7 +30,7 @@
 /// Rows created in one transaction.
 const CREATE_BATCH: usize = 64;
 /// Times that a request asks the holders.
-const ROUNDS_MAX: usize = 8;
+const ACQUIRE_ROUNDS_MAX: usize = 8;
 
 /// Bounds of the limiter.
 #[derive(Debug, Clone)]
@@ -61,7 +61,7 @@
     settings: LimitSettings,
     rows: RefCell<HashMap<TeamId, KnownRow>>,
     buckets: RefCell<HashMap<TeamId, Bucket>>,
-    gone: GoneMembers,
+    lost_members: LostMembers,
     handed_over: Cell<bool>,
 }
 
@@ -85,7 +85,7 @@
             settings,
             rows: RefCell::default(),
             buckets: RefCell::default(),
-            gone: GoneMembers::default(),
+            lost_members: LostMembers::default(),
             handed_over: Cell::new(false),
         }
     }
@@ -109,7 +109,7 @@
     ) -> Result<(), Refusal> {
         let deadline = self.clock.monotonic() + self.settings.token_wait;
         let mut next_token = None;
-        for _ in 0..ROUNDS_MAX {
+        for _ in 0..ACQUIRE_ROUNDS_MAX {
             let wait = match self.ask_holders(team, limit, members).await {
                 TakeReply::Taken => return Ok(()),
                 TakeReply::Empty { wait_ms } => Some(Duration::from_millis(wait_ms)),
@@ -285,10 +285,10 @@
         });
         let left = left.map(|share| share.holder.clone());
         self.adopt(team.clone(), known.clone());
-        let heir = preferred_holders(members, team).into_iter().next();
-        match (left, heir) {
-            (Some(left), Some(heir)) if heir == self.incarnation.id() => {
-                self.transfer(team, known, &left, &heir).await.map(drop)
+        let recipient = preferred_holders(members, team).into_iter().next();
+        match (left, recipient) {
+            (Some(left), Some(recipient)) if recipient == self.incarnation.id() => {
+                self.transfer(team, known, &left, &recipient).await.map(drop)
             }
             _ => Ok(()),
         }
--- a/crates/coordination/src/limits/escrow/moves.rs
+++ b/crates/coordination/src/limits/escrow/moves.rs
@@ -18,26 +18,26 @@
         config: &ConfigSnapshot,
         members: &[Member],
     ) -> PlatformResult<()> {
-        for (team, known, heir) in self.surplus_shares(config) {
-            // Nothing is spent from here on, before the heir may spend the share.
+        for (team, known, recipient) in self.surplus_shares(config) {
+            // Nothing is spent from here on, before the recipient may spend the share.
             self.buckets.borrow_mut().remove(&team);
-            self.transfer(&team, known, self.incarnation.id(), &heir).await?;
-            self.notify_heir(&heir, &team, members).await;
+            self.transfer(&team, known, self.incarnation.id(), &recipient).await?;
+            self.notify_recipient(&recipient, &team, members).await;
         }
         Ok(())
     }
 
-    /// Tells `heir` that it was given a share; a loss is made up for by the next request to it.
-    async fn notify_heir(&self, heir: &str, team: &TeamId, members: &[Member]) {
+    /// Tells `recipient` that it was given a share; a loss is made up for by the next request to it.
+    async fn notify_recipient(&self, recipient: &str, team: &TeamId, members: &[Member]) {
         let version = self.rows.borrow().get(team).map_or(0, |known| known.version);
-        if let Some(member) = members.iter().find(|member| member.id == heir)
+        if let Some(member) = members.iter().find(|member| member.id == recipient)
             && let Err(error) = self.peers.limit_moved(&member.peer_address, team, version).await
         {
             debug!("event=limit_notice_lost team={team} cause={error:?}");
         }
     }
 
-    /// Returns this node's shares that are too small to keep, each with its heir.
+    /// Returns this node's shares that are too small to keep, each with its recipient.
     pub(super) fn surplus_shares(
         &self,
         config: &ConfigSnapshot,
@@ -45,8 +45,9 @@
         let own_id = self.incarnation.id();
         let rows = self.rows.borrow();
         let surplus = rows.iter().filter_map(|(team, known)| {
-            let heir = known.row.surplus_heir(own_id, holder_count(config.team_limit(team)?))?;
-            Some((team.clone(), known.clone(), heir.clone()))
+            let recipient =
+                known.row.surplus_recipient(own_id, holder_count(config.team_limit(team)?))?;
+            Some((team.clone(), known.clone(), recipient.clone()))
         });
         surplus.collect()
     }
@@ -58,9 +59,9 @@
     /// Fails when the platform cannot be read or written; the next call continues.
     pub async fn reclaim(&self, members: &[Member]) -> PlatformResult<()> {
         let now = self.clock.monotonic();
-        self.gone.note(members, now);
+        self.lost_members.observe(members, now);
         let own_id = self.incarnation.id();
-        let due = self.gone.due(own_id, members, &self.heartbeats, now);
+        let due = self.lost_members.due(own_id, members, &self.heartbeats, now);
         if due.is_empty() {
             return Ok(());
         }
@@ -75,15 +76,15 @@
             complete &= self.transfer(&team, known.clone(), holder, own_id).await?;
         }
         if complete {
-            self.gone.settle(due);
+            self.lost_members.mark_reclaimed(due);
         }
         Ok(())
     }
 
     /// Returns fenced members that are gone for longer than `age`.
     #[must_use]
-    pub fn gone_for(&self, age: Duration, members: &[Member]) -> Vec<IncarnationId> {
-        self.gone.gone_for(age, members, self.clock.monotonic())
+    pub fn lost_for(&self, age: Duration, members: &[Member]) -> Vec<IncarnationId> {
+        self.lost_members.lost_for(age, members, self.clock.monotonic())
     }
 
     /// Hands all shares over before a planned stop; nothing is spent from here on.
@@ -97,10 +98,10 @@
         let own_id = self.incarnation.id().to_owned();
         for row in scan_all(&*self.table, Table::Limits, "", "").await? {
             let (team, known) = parse_row(row)?;
-            let heir = preferred_holders(members, &team).into_iter().find(|id| *id != own_id);
-            if let (Some(_), Some(heir)) = (known.row.share(&own_id), heir) {
-                self.transfer(&team, known, &own_id, &heir).await?;
-                self.notify_heir(&heir, &team, members).await;
+            let recipient = preferred_holders(members, &team).into_iter().find(|id| *id != own_id);
+            if let (Some(_), Some(recipient)) = (known.row.share(&own_id), recipient) {
+                self.transfer(&team, known, &own_id, &recipient).await?;
+                self.notify_recipient(&recipient, &team, members).await;
             }
         }
         Ok(())
--- a/crates/coordination/src/limits/reclaim.rs
+++ b/crates/coordination/src/limits/reclaim.rs
@@ -13,14 +13,14 @@
 
 /// Members that are fenced or removed, and since when this node knows.
 #[derive(Debug, Default)]
-pub(super) struct GoneMembers {
+pub(super) struct LostMembers {
     since: RefCell<HashMap<IncarnationId, Duration>>,
     reclaimed: RefCell<HashSet<IncarnationId>>,
 }
 
-impl GoneMembers {
+impl LostMembers {
     /// Remembers since when members are fenced, and reclaimers fenced or removed.
-    pub fn note(&self, members: &[Member], now: Duration) {
+    pub fn observe(&self, members: &[Member], now: Duration) {
         let mut since = self.since.borrow_mut();
         let named = members.iter().filter_map(|member| member.reclaimer.as_ref());
         for id in members.iter().map(|member| &member.id).chain(named) {
@@ -48,12 +48,12 @@
     }
 
     /// Notes that no row names these members any more.
-    pub fn settle(&self, members: Vec<IncarnationId>) {
+    pub fn mark_reclaimed(&self, members: Vec<IncarnationId>) {
         self.reclaimed.borrow_mut().extend(members);
     }
 
     /// Returns fenced members that are gone for longer than `age`.
-    pub fn gone_for(&self, age: Duration, members: &[Member], now: Duration) -> Vec<IncarnationId> {
+    pub fn lost_for(&self, age: Duration, members: &[Member], now: Duration) -> Vec<IncarnationId> {
         let since = self.since.borrow();
         let old = |id: &str| since.get(id).is_some_and(|since| now >= *since + age);
         let fenced = members.iter().filter(|member| member.state == MemberState::Fenced);
@@ -74,14 +74,16 @@
         promised_at: Option<Duration>,
         now: Duration,
     ) -> bool {
-        let over = |since: Duration| now >= since + PROMISE + DRIFT_MARGIN;
-        let gone = |id: &str| self.since.borrow().get(id).copied();
-        if !gone(&member.id).is_some_and(over) {
+        let has_expired = |since: Duration| now >= since + PROMISE + DRIFT_MARGIN;
+        let lost_since = |id: &str| self.since.borrow().get(id).copied();
+        if !lost_since(&member.id).is_some_and(has_expired) {
             return false;
         }
         match member.reclaimer.as_deref() {
-            Some(reclaimer) if reclaimer == own_id => promised_at.is_none_or(over),
-            Some(reclaimer) => gone(reclaimer).is_some_and(over) && is_first_live(own_id, members),
+            Some(reclaimer) if reclaimer == own_id => promised_at.is_none_or(has_expired),
+            Some(reclaimer) => {
+                lost_since(reclaimer).is_some_and(has_expired) && is_first_live(own_id, members)
+            }
             None => is_first_live(own_id, members),
         }
     }
--- a/crates/coordination/src/limits/shares.rs
+++ b/crates/coordination/src/limits/shares.rs
@@ -61,7 +61,7 @@
 
     /// Returns who takes over the share of `holder` when only the first `count` shares are kept.
     #[must_use]
-    pub fn surplus_heir(&self, holder: &str, count: usize) -> Option<&IncarnationId> {
+    pub fn surplus_recipient(&self, holder: &str, count: usize) -> Option<&IncarnationId> {
         let position = self.shares.iter().position(|share| share.holder == holder)?;
         (position >= count).then(|| &self.shares[position % count].holder)
     }
--- a/crates/coordination/src/limits/usage.rs
+++ b/crates/coordination/src/limits/usage.rs
@@ -54,7 +54,7 @@
     fn wait_max(self) -> Duration {
         match self {
             Self::Begins => Duration::ZERO,
-            Self::Continues { time_left } => (time_left / WAIT_SHARE).min(WAIT_MAX),
+            Self::Continues { time_left } => (time_left / WAIT_DIVISOR).min(WAIT_MAX),
         }
     }
 }
@@ -66,28 +66,28 @@
 /// Reports that a node misses before it counts as cut off.
 const MISSED_REPORTS_MAX: u32 = 7;
 /// Silence after which a node no longer counts as a member.
-pub const FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+pub const FORGET_AFTER: Duration = Duration::from_secs(30);
 /// Longest wait for a token, about the pause after which a caller would ask again.
 const WAIT_MAX: Duration = Duration::from_millis(750);
 /// Part of the time left to a request that it may wait for a token.
-const WAIT_SHARE: u32 = 3;
+const WAIT_DIVISOR: u32 = 3;
 /// Weight of the newest interval in a node's rate.
 const RATE_WEIGHT: f64 = 0.4;
 /// Requests that a program needs until enough programs were seen.
-const PROGRAM_REQUESTS_DEFAULT: f64 = 12.0;
+const REQUESTS_PER_PROGRAM_DEFAULT: f64 = 12.0;
 /// Programs that must have been seen for their average to count.
 const PROGRAMS_SEEN_MIN: u64 = 8;
 /// Time between two estimates of the average, which takes a look at all members and teams.
 const ESTIMATE_INTERVAL: Duration = Duration::from_millis(250);
 /// Part of the burst below which new programs are counted against the second bucket.
-const PRESSURE: f64 = 0.85;
+const PRESSURE_THRESHOLD: f64 = 0.85;
 /// Part of the burst that new programs leave to those that have begun.
-const BEGIN_RESERVE: f64 = 0.4;
+const STARTED_PROGRAMS_RESERVE: f64 = 0.4;
 /// Part of the burst that a bucket holds before any other node was heard: what was spent before a
 /// restart of all nodes is unknown.
-const START_FILL: f64 = 0.5;
+const INITIAL_FILL: f64 = 0.5;
 /// Time over which a program spreads its requests, about a program's length.
-const PROGRAM_SPREAD: Duration = Duration::from_secs(2);
+const PROGRAM_DURATION: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
 struct Member {
@@ -113,9 +113,9 @@
     members: HashMap<MemberId, Member>,
     teams: HashMap<TeamHash, TeamBucket>,
     /// Whether the buckets were taken over from another node.
-    has_taken_over: bool,
+    is_seeded: bool,
     /// Requests that a program needs on average, and the time of the estimate.
-    program_requests: Option<(f64, Duration)>,
+    requests_per_program: Option<(f64, Duration)>,
 }
 
 /// Returns the time between two reports of a node in a fleet with `members` other nodes.
@@ -127,7 +127,7 @@
 
 /// Returns the silence after which a node counts as cut off, in a fleet with `members` others.
 #[must_use]
-pub fn silent_after(members: usize) -> Duration {
+pub fn silence_timeout(members: usize) -> Duration {
     report_interval(members).saturating_mul(MISSED_REPORTS_MAX)
 }
 
@@ -153,11 +153,11 @@
         now: Duration,
     ) -> Result<Duration, Duration> {
         let covered = self.covered_share(now);
-        let unreported = self.unreported(team, now);
-        let program_requests = self.program_requests(now);
-        let bucket = self.teams.entry(team).or_insert_with(|| TeamBucket::starting(limits));
+        let estimated_unreported = self.estimated_unreported(team, now);
+        let requests_per_program = self.requests_per_program(now);
+        let bucket = self.teams.entry(team).or_insert_with(|| TeamBucket::initial(limits));
         bucket.accrue(limits, covered, now);
-        let available = bucket.tokens - unreported;
+        let available = bucket.tokens - estimated_unreported;
         let rate_per_s = (limits.rate_per_s * covered).max(f64::MIN_POSITIVE);
         let wait = seconds((1.0 - available).max(0.0) / rate_per_s);
         if wait > step.wait_max() {
@@ -165,12 +165,12 @@
         }
         if step == Step::Begins {
             let burst = limits.burst * covered;
-            let missing = program_requests - bucket.program_tokens;
-            let short = burst * BEGIN_RESERVE - available;
-            if available < burst * PRESSURE && missing.max(short) > 0.0 {
+            let missing = requests_per_program - bucket.program_tokens;
+            let short = burst * STARTED_PROGRAMS_RESERVE - available;
+            if available < burst * PRESSURE_THRESHOLD && missing.max(short) > 0.0 {
                 return Err(seconds(missing.max(short) / rate_per_s));
             }
-            bucket.program_tokens -= program_requests;
+            bucket.program_tokens -= requests_per_program;
             bucket.own_admitted.programs += 1;
         }
         bucket.tokens -= 1.0;
@@ -194,12 +194,12 @@
     }
 
     /// Takes the tokens of all teams over from the first report after the start.
-    fn take_over(&mut self, admitted: &AdmittedCounts, now: Duration) {
-        self.has_taken_over = true;
+    fn seed_from_report(&mut self, admitted: &AdmittedCounts, now: Duration) {
+        self.is_seeded = true;
         for (team, count) in admitted {
             let bucket = self.teams.entry(*team).or_default();
             let own_admitted = bucket.own_admitted;
-            *bucket = TeamBucket { own_admitted, ..TeamBucket::reported(count, now) };
+            *bucket = TeamBucket { own_admitted, ..TeamBucket::from_report(count, now) };
             bucket.tokens -= signed_difference(own_admitted.requests, 0);
         }
     }
@@ -212,8 +212,8 @@
         admitted: AdmittedCounts,
         now: Duration,
     ) {
-        if !self.has_taken_over {
-            self.take_over(&admitted, now);
+        if !self.is_seeded {
+            self.seed_from_report(&admitted, now);
         }
         let known = self.members.remove(member);
         let is_new = known.as_ref().is_none_or(|known| known.heard_at.is_zero());
@@ -227,22 +227,22 @@
         if is_restarted && !is_new {
             known.admitted.clear();
         }
-        let program_requests = self.program_requests(now);
+        let requests_per_program = self.requests_per_program(now);
         // Reports that were held up arrive together; their spacing says nothing of the rate.
         let elapsed_s = now.saturating_sub(known.heard_at).max(REPORT_INTERVAL_MIN).as_secs_f64();
         for (team, count) in &admitted {
             let before = known.admitted.get(team).copied().unwrap_or_default();
             // A refund may lower a count; the difference is given back.
             let delta = signed_difference(count.requests, before.requests);
-            let begun = signed_difference(count.programs, before.programs);
+            let started = signed_difference(count.programs, before.programs);
             match self.teams.get_mut(team) {
                 Some(bucket) if !is_new => {
                     bucket.tokens -= delta;
-                    bucket.program_tokens -= begun * program_requests;
+                    bucket.program_tokens -= started * requests_per_program;
                 }
                 Some(_) => {}
                 // A team that this node has not served yet; what others spent counts from now on.
-                None => drop(self.teams.insert(*team, TeamBucket::reported(count, now))),
+                None => drop(self.teams.insert(*team, TeamBucket::from_report(count, now))),
             }
             let rate = known.rates_per_s.entry(*team).or_default();
             *rate += RATE_WEIGHT * ((delta / elapsed_s).max(0.0) - *rate);
@@ -268,12 +268,12 @@
         self.members.remove(member);
     }
 
-    /// Forgets nodes silent for [`FORGOTTEN_AFTER`] and returns them.
+    /// Forgets nodes silent for [`FORGET_AFTER`] and returns them.
     pub fn forget_silent(&mut self, now: Duration) -> Vec<MemberId> {
         let silent: Vec<MemberId> = self
             .members
             .iter()
-            .filter(|(_, member)| now >= member.heard_at + FORGOTTEN_AFTER)
+            .filter(|(_, member)| now >= member.heard_at + FORGET_AFTER)
             .map(|(id, _)| id.clone())
             .collect();
         for id in &silent {
@@ -285,8 +285,8 @@
     /// Returns the part of each limit that the nodes in contact with this one may spend.
     #[must_use]
     pub fn covered_share(&self, now: Duration) -> f64 {
-        let silent_after = silent_after(self.members.len());
-        let is_heard = |member: &&Member| member.is_heard(now, silent_after);
+        let silence_timeout = silence_timeout(self.members.len());
+        let is_heard = |member: &&Member| member.is_heard(now, silence_timeout);
         let heard = self.members.values().filter(is_heard).count();
         #[expect(clippy::cast_precision_loss, reason = "a few hundred members")]
         let share = (heard + 1) as f64 / (self.members.len() + 1) as f64;
@@ -295,41 +295,41 @@
 
     /// Returns the other nodes and whether each was heard lately.
     pub fn members(&self, now: Duration) -> impl Iterator<Item = (&MemberId, bool)> {
-        let silent_after = silent_after(self.members.len());
-        self.members.iter().map(move |(id, member)| (id, member.is_heard(now, silent_after)))
+        let silence_timeout = silence_timeout(self.members.len());
+        self.members.iter().map(move |(id, member)| (id, member.is_heard(now, silence_timeout)))
     }
 
     /// Returns the requests that a program needs on average, over all teams: programs of a team
     /// under pressure are cut short.
-    fn program_requests(&mut self, now: Duration) -> f64 {
-        match self.program_requests {
+    fn requests_per_program(&mut self, now: Duration) -> f64 {
+        match self.requests_per_program {
             Some((estimate, at)) if now < at + ESTIMATE_INTERVAL => estimate,
             _ => {
-                let estimate = self.estimate_program_requests();
-                self.program_requests = Some((estimate, now));
+                let estimate = self.estimate_requests_per_program();
+                self.requests_per_program = Some((estimate, now));
                 estimate
             }
         }
     }
 
-    fn estimate_program_requests(&self) -> f64 {
+    fn estimate_requests_per_program(&self) -> f64 {
         let own = self.teams.values().map(|bucket| bucket.own_admitted);
         let others = self.members.values().flat_map(|member| member.admitted.values().copied());
         let (requests, programs) = others
             .chain(own)
             .fold((0, 0), |sum, count| (sum.0 + count.requests, sum.1 + count.programs));
         if programs < PROGRAMS_SEEN_MIN {
-            return PROGRAM_REQUESTS_DEFAULT;
+            return REQUESTS_PER_PROGRAM_DEFAULT;
         }
         signed_difference(requests, 0) / signed_difference(programs, 0)
     }
 
     /// Returns what other nodes have probably admitted since their last reports.
-    fn unreported(&self, team: TeamHash, now: Duration) -> f64 {
-        let silent_after = silent_after(self.members.len());
+    fn estimated_unreported(&self, team: TeamHash, now: Duration) -> f64 {
+        let silence_timeout = silence_timeout(self.members.len());
         self.members
             .values()
-            .filter(|member| member.is_heard(now, silent_after))
+            .filter(|member| member.is_heard(now, silence_timeout))
             .map(|member| {
                 let rate = member.rates_per_s.get(&team).copied().unwrap_or_default();
                 rate * now.saturating_sub(member.heard_at).as_secs_f64()
@@ -339,20 +339,20 @@
 }
 
 impl Member {
-    fn is_heard(&self, now: Duration, silent_after: Duration) -> bool {
-        now < self.heard_at + silent_after && self.heard_at > Duration::ZERO
+    fn is_heard(&self, now: Duration, silence_timeout: Duration) -> bool {
+        now < self.heard_at + silence_timeout && self.heard_at > Duration::ZERO
     }
 }
 
 impl TeamBucket {
     /// Returns the bucket of a team unknown so far; it accrues from the start of the clock.
-    fn starting(limits: BucketLimits) -> Self {
-        let tokens = limits.burst * START_FILL;
+    fn initial(limits: BucketLimits) -> Self {
+        let tokens = limits.burst * INITIAL_FILL;
         Self { tokens, program_tokens: tokens, ..Self::default() }
     }
 
     /// Returns the bucket of a team as another node sees it.
-    fn reported(count: &Admitted, now: Duration) -> Self {
+    fn from_report(count: &Admitted, now: Duration) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "bursts are small")]
         let (tokens, program_tokens) = (count.tokens_left as f64, count.program_tokens_left as f64);
         Self { tokens, program_tokens, updated_at: now, ..Self::default() }
@@ -369,7 +369,7 @@
         let elapsed_s = now.saturating_sub(self.updated_at).as_secs_f64();
         let burst = limits.burst.max(1.0) * covered;
         let accrued = elapsed_s * limits.rate_per_s * covered;
-        let program_burst = burst + limits.rate_per_s * covered * PROGRAM_SPREAD.as_secs_f64();
+        let program_burst = burst + limits.rate_per_s * covered * PROGRAM_DURATION.as_secs_f64();
         self.tokens = (self.tokens + accrued).min(burst.max(1.0));
         self.program_tokens = (self.program_tokens + accrued).min(program_burst);
         // Debt beyond one program length would hold new programs back for longer than it lasts.
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -387,7 +387,7 @@
     /// Removes rows of members that were fenced long ago; one member does it for all.
     async fn remove_fenced(&self) -> PlatformResult<()> {
         let members = self.membership.members();
-        let gone = self.escrow.gone_for(FENCED_ROW_AGE, &members);
+        let gone = self.escrow.lost_for(FENCED_ROW_AGE, &members);
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let first = live.map(|member| member.id.as_str()).min();
         if gone.is_empty() || first != Some(self.incarnation.id()) {
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -29,7 +29,7 @@
 
 /// What a request asks of its backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Demand<'a> {
+pub struct PlacementRequest<'a> {
     /// What decides among sound servers.
     pub policy: PlacementPolicy,
     /// Key of the placement; requests with equal keys share prompts.
@@ -43,14 +43,14 @@
 
 /// Nodes that must distrust a server for this node to avoid it too: a single one may have lost
 /// its own way there.
-const DISTRUST_QUORUM: u32 = 2;
+const AVOID_QUORUM: u32 = 2;
 /// Servers that are compared. With more, all lines that leave loaded servers would meet on the
 /// one that was the least loaded when the other nodes last reported, and have their prompts read
 /// again there.
 const COMPARED_SERVERS: usize = 2;
 
 /// Cost of another server than the first in rank, in fractions of a server's slots.
-const REREAD_COST: f64 = 0.4;
+const PREFILL_COST: f64 = 0.4;
 /// Further cost of each rank, which makes moved lines meet on one server.
 const RANK_COST: f64 = 0.02;
 /// Ranks beyond this one are equal.
@@ -58,7 +58,7 @@
 /// Cost of a server that failed lately; above any load.
 const FAILED_COST: f64 = 100.0;
 /// Time for which a server is avoided after its first failure; doubles with each further one.
-const AVOID_BASE: Duration = Duration::from_millis(500);
+const AVOID_MIN: Duration = Duration::from_millis(500);
 /// Longest time for which a server is avoided; failures are rediscovered by one request each.
 const AVOID_MAX: Duration = Duration::from_secs(4);
 
@@ -79,9 +79,9 @@
     /// Sum of `peer_loads`, kept up with each report.
     peer_in_flight: HashMap<ServerHash, u32>,
     /// Servers that each other node last said to avoid.
-    peer_distrust: HashMap<MemberId, Vec<ServerHash>>,
+    peer_avoided: HashMap<MemberId, Vec<ServerHash>>,
     /// Number of nodes that avoid a server, kept up with each report.
-    distrusted_by: HashMap<ServerHash, u32>,
+    avoiding_peers: HashMap<ServerHash, u32>,
 }
 
 /// Hash of a backend server's identifier, as in reports between nodes.
@@ -91,40 +91,40 @@
     /// Chooses a server for a request.
     pub fn choose<'a>(
         &self,
-        demand: Demand<'_>,
+        request: PlacementRequest<'_>,
         servers: impl Iterator<Item = &'a ServerEntry>,
         now: Duration,
     ) -> Option<&'a ServerEntry> {
-        let Demand { policy, key, may_repeat, excluded } = demand;
+        let PlacementRequest { policy, key, may_repeat, excluded } = request;
         let mut ranked: Vec<(u64, &ServerEntry)> = servers
             .map(|server| (xxh3_64_with_seed(key.as_bytes(), hash(&server.id)), server))
             .collect();
         ranked.sort_unstable_by(|left, right| right.cmp_weight(left));
-        let compared = match policy {
+        let compared_max = match policy {
             PlacementPolicy::Affinity | PlacementPolicy::TwoChoices => COMPARED_SERVERS,
             PlacementPolicy::AffinityAnywhere | PlacementPolicy::LeastLoaded => usize::MAX,
         };
-        let offered: Vec<(usize, &ServerEntry)> = ranked
+        let candidates: Vec<(usize, &ServerEntry)> = ranked
             .into_iter()
             .enumerate()
             .map(|(rank, (_, server))| (rank, server))
             .filter(|(_, server)| !excluded.contains(&server.id))
             .collect();
-        let is_sound = |server: &ServerEntry| {
+        let is_healthy = |server: &ServerEntry| {
             !self.is_avoided(server, now) && (may_repeat || !self.is_on_probation(server))
         };
-        let sound = offered.iter().filter(|(_, server)| is_sound(server)).take(compared);
+        let healthy = candidates.iter().filter(|(_, server)| is_healthy(server)).take(compared_max);
         // Servers that failed lately serve only when there is no other.
-        sound
-            .chain(offered.iter().filter(|(_, server)| !is_sound(server)))
+        healthy
+            .chain(candidates.iter().filter(|(_, server)| !is_healthy(server)))
             .map(|(rank, server)| (self.cost(policy, *rank, server, now), *server))
             .min_by(|left, right| left.0.total_cmp(&right.0))
             .map(|(_, server)| server)
     }
 
     fn is_avoided(&self, server: &ServerEntry, now: Duration) -> bool {
-        let distrusted_by = self.distrusted_by.get(&server_hash(&server.id)).copied();
-        distrusted_by.unwrap_or_default() >= DISTRUST_QUORUM
+        let avoiding_peers = self.avoiding_peers.get(&server_hash(&server.id)).copied();
+        avoiding_peers.unwrap_or_default() >= AVOID_QUORUM
             || self.views.get(&server.id).is_some_and(|view| now < view.avoid_until)
     }
 
@@ -144,16 +144,16 @@
         let peers = self.peer_in_flight.get(&server_hash(&server.id)).copied().unwrap_or_default();
         let in_flight = peers + view.map_or(0, |view| view.own_in_flight);
         let load = f64::from(in_flight) / f64::from(server.slots.max(1));
-        let failed = if self.is_avoided(server, now) { FAILED_COST } else { 0.0 };
-        let moved = match policy {
+        let failure_cost = if self.is_avoided(server, now) { FAILED_COST } else { 0.0 };
+        let move_cost = match policy {
             PlacementPolicy::TwoChoices | PlacementPolicy::LeastLoaded => 0.0,
             _ if rank == 0 => 0.0,
             PlacementPolicy::Affinity | PlacementPolicy::AffinityAnywhere => {
                 let rank = u32::try_from(rank.min(RANKED_MAX)).unwrap_or(u32::MAX);
-                REREAD_COST + RANK_COST * f64::from(rank)
+                PREFILL_COST + RANK_COST * f64::from(rank)
             }
         };
-        load + failed + moved
+        load + failure_cost + move_cost
     }
 
     /// Records that a request is sent to `server`.
@@ -178,7 +178,7 @@
     /// is avoided.
     pub fn note_failure(&mut self, server: &str, now: Duration) -> Duration {
         let view = self.view(server);
-        let pause = AVOID_BASE * 2_u32.saturating_pow(view.failures_in_row.min(8));
+        let pause = AVOID_MIN * 2_u32.saturating_pow(view.failures_in_row.min(8));
         let pause = pause.min(AVOID_MAX);
         view.failures_in_row += 1;
         view.avoid_until = now + pause;
@@ -194,23 +194,23 @@
 
     /// Returns the servers that this node avoids for what it saw itself.
     #[must_use]
-    pub fn own_distrust(&self, now: Duration) -> Vec<ServerHash> {
+    pub fn own_avoided(&self, now: Duration) -> Vec<ServerHash> {
         let avoided = self.views.iter().filter(|(_, view)| now < view.avoid_until);
         avoided.map(|(id, _)| server_hash(id)).collect()
     }
 
     /// Replaces the servers that another node avoids; nothing when it is silent or gone.
-    pub fn set_peer_distrust(&mut self, member: &str, avoided: Vec<ServerHash>) {
+    pub fn set_peer_avoided(&mut self, member: &str, avoided: Vec<ServerHash>) {
         for server in &avoided {
-            *self.distrusted_by.entry(*server).or_default() += 1;
+            *self.avoiding_peers.entry(*server).or_default() += 1;
         }
         let previous = if avoided.is_empty() {
-            self.peer_distrust.remove(member)
+            self.peer_avoided.remove(member)
         } else {
-            self.peer_distrust.insert(member.to_owned(), avoided)
+            self.peer_avoided.insert(member.to_owned(), avoided)
         };
         for server in previous.into_iter().flatten() {
-            if let Some(count) = self.distrusted_by.get_mut(&server) {
+            if let Some(count) = self.avoiding_peers.get_mut(&server) {
                 *count = count.saturating_sub(1);
             }
         }
@@ -219,7 +219,7 @@
     /// Forgets what another node said; for one that is silent or gone.
     pub fn forget_peer(&mut self, member: &str) {
         self.set_peer_load(member, Vec::new());
-        self.set_peer_distrust(member, Vec::new());
+        self.set_peer_avoided(member, Vec::new());
     }
 
     /// Replaces what another node has under way; nothing when it is silent or gone.
--- a/crates/coordination/src/servers.rs
+++ b/crates/coordination/src/servers.rs
@@ -50,7 +50,7 @@
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownServer {
     entry: ServerEntry,
     /// Set while the entry is missing although the store may have dropped it wrongly.
     lapsed_at: Option<Duration>,
@@ -59,7 +59,7 @@
 /// The backend servers by identifier.
 #[derive(Debug, Default)]
 pub struct ServerList {
-    known: HashMap<BackendId, Known>,
+    known: HashMap<BackendId, KnownServer>,
     /// Time of the last failed read of the list.
     store_failed_at: Option<Duration>,
 }
@@ -73,7 +73,7 @@
     /// Records an entry.
     pub fn insert(&mut self, entry: ServerEntry) -> Option<ServerChange> {
         let id = entry.id.clone();
-        let previous = self.known.insert(id.clone(), Known { entry, lapsed_at: None });
+        let previous = self.known.insert(id.clone(), KnownServer { entry, lapsed_at: None });
         let state = self.known[&id].entry.state;
         let is_known = previous.is_some_and(|previous| {
             previous.lapsed_at.is_none() && previous.entry == self.known[&id].entry
@@ -153,7 +153,7 @@
     /// Returns the number of backend servers that take no new work.
     #[must_use]
     pub fn draining_count(&self) -> usize {
-        let draining = |known: &&Known| known.entry.state == ServerState::Draining;
+        let draining = |known: &&KnownServer| known.entry.state == ServerState::Draining;
         self.known.values().filter(draining).count()
     }
 
--- a/crates/coordination/src/turns.rs
+++ b/crates/coordination/src/turns.rs
@@ -157,7 +157,7 @@
     ///
     /// Fails when the store did not accept the record.
     pub async fn keep(&self, turn: &str, record: Rc<TurnRecord>) -> Result<(), TurnError> {
-        self.remember(turn, Rc::clone(&record));
+        self.insert_cached(turn, Rc::clone(&record));
         let value = serde_json::to_vec(&*record).map_err(|error| malformed(&error))?;
         let part = part_of(turn, TURN_PARTS);
         let write = RowWrite {
@@ -177,7 +177,7 @@
     }
 
     /// Caches a turn that this node answered whole.
-    pub fn remember(&self, turn: &str, record: Rc<TurnRecord>) {
+    pub fn insert_cached(&self, turn: &str, record: Rc<TurnRecord>) {
         self.cache.borrow_mut().insert(turn, record);
     }
 
@@ -193,7 +193,7 @@
         let record: TurnRecord =
             serde_json::from_slice(&row.value).map_err(|error| malformed(&error))?;
         let record = Rc::new(record);
-        self.remember(turn, Rc::clone(&record));
+        self.insert_cached(turn, Rc::clone(&record));
         Ok(Some(record))
     }
 }
--- a/crates/coordination/tests/backends.rs
+++ b/crates/coordination/tests/backends.rs
@@ -5,7 +5,7 @@
 
 use dandelionfront_coordination::events::EventSplitter;
 use dandelionfront_coordination::freshness::Freshness;
-use dandelionfront_coordination::placement::{Demand, Placement, PlacementPolicy};
+use dandelionfront_coordination::placement::{Placement, PlacementPolicy, PlacementRequest};
 use dandelionfront_coordination::routing::{
     CallerLimits, RepeatPolicy, Route, RoutingTable, Target, Team,
 };
@@ -28,8 +28,12 @@
 }
 
 /// A request that may run again.
-fn demand<'a>(policy: PlacementPolicy, key: &'a str, excluded: &'a [String]) -> Demand<'a> {
-    Demand { policy, key, may_repeat: true, excluded }
+fn placement_request<'a>(
+    policy: PlacementPolicy,
+    key: &'a str,
+    excluded: &'a [String],
+) -> PlacementRequest<'a> {
+    PlacementRequest { policy, key, may_repeat: true, excluded }
 }
 
 fn ready(list: &ServerList) -> usize {
@@ -83,20 +87,23 @@
     let servers: Vec<ServerEntry> = (0..18).map(|index| entry(&format!("s{index}"))).collect();
     let choose = |placement: &Placement, key: &str, excluded: &[String]| {
         let policy = PlacementPolicy::Affinity;
-        let chosen =
-            placement.choose(demand(policy, key, excluded), servers.iter(), Duration::ZERO);
+        let chosen = placement.choose(
+            placement_request(policy, key, excluded),
+            servers.iter(),
+            Duration::ZERO,
+        );
         chosen.expect("some server").id.clone()
     };
     let (first, second) = (Placement::default(), Placement::default());
     let mut used: HashMap<String, u32> = HashMap::new();
     for key in 0..1_000 {
         let key = format!("program-{key}");
-        let home = choose(&first, &key, &[]);
-        assert_eq!(home, choose(&second, &key, &[]));
+        let preferred = choose(&first, &key, &[]);
+        assert_eq!(preferred, choose(&second, &key, &[]));
         // After the loss of its server a line moves to the same one on every node.
-        let lost = [home.clone()];
+        let lost = [preferred.clone()];
         assert_eq!(choose(&first, &key, &lost), choose(&second, &key, &lost));
-        *used.entry(home).or_default() += 1;
+        *used.entry(preferred).or_default() += 1;
     }
     let busiest = used.values().max().expect("used");
     assert!(*busiest < 90, "{busiest} of 1000 keys on one of 18 servers");
@@ -108,14 +115,15 @@
     let mut placement = Placement::default();
     let choose = |placement: &Placement| {
         let policy = PlacementPolicy::Affinity;
-        let chosen = placement.choose(demand(policy, "p", &[]), servers.iter(), Duration::ZERO);
+        let chosen =
+            placement.choose(placement_request(policy, "p", &[]), servers.iter(), Duration::ZERO);
         chosen.expect("some server").id.clone()
     };
-    let home = choose(&placement);
-    (0..4).for_each(|_| placement.begin(&home));
-    assert_eq!(choose(&placement), home);
-    (0..4).for_each(|_| placement.begin(&home));
-    assert_ne!(choose(&placement), home);
+    let preferred = choose(&placement);
+    (0..4).for_each(|_| placement.begin(&preferred));
+    assert_eq!(choose(&placement), preferred);
+    (0..4).for_each(|_| placement.begin(&preferred));
+    assert_ne!(choose(&placement), preferred);
 }
 
 #[test]
@@ -124,7 +132,8 @@
     let mut placement = Placement::default();
     let choose = |placement: &Placement| {
         let policy = PlacementPolicy::LeastLoaded;
-        let chosen = placement.choose(demand(policy, "k", &[]), servers.iter(), Duration::ZERO);
+        let chosen =
+            placement.choose(placement_request(policy, "k", &[]), servers.iter(), Duration::ZERO);
         chosen.expect("some server").id.clone()
     };
     let first = choose(&placement);
@@ -144,43 +153,43 @@
 }
 
 /// Backend servers under calls of many nodes that learn of each other's load now and then.
-struct ToolLoad {
+struct SimulatedLoad {
     nodes: usize,
     report_interval_ms: u64,
     calls_per_s: u64,
     servers: usize,
     /// Lines of turns; each call belongs to a random one.
-    lines: u64,
+    sessions: u64,
 }
 
 /// What came of the calls of ten seconds.
 #[derive(Debug, Default)]
-struct Outcome {
+struct SimulationResult {
     calls: u64,
-    turned_away: u64,
+    rejected: u64,
     /// Calls that went to another server than the one before in their line.
     moved: u64,
 }
 
 /// Calls that a backend server runs at once and that wait there; more are turned away.
-const SLOTS: usize = 6;
-const QUEUE: usize = 24;
+const SERVER_SLOTS: usize = 6;
+const SERVER_QUEUE_MAX: usize = 24;
 /// Mean time of a call on an idle server.
-const CALL_MS: f64 = 33.0;
+const CALL_MEAN_MS: f64 = 33.0;
 
-impl ToolLoad {
-    fn play(&self, policy: PlacementPolicy) -> Outcome {
+impl SimulatedLoad {
+    fn simulate(&self, policy: PlacementPolicy) -> SimulationResult {
         let mut random = StdRng::seed_from_u64(20_261_204);
         let servers: Vec<ServerEntry> =
             (0..self.servers).map(|index| entry(&format!("s{index}"))).collect();
         let mut nodes: Vec<Placement> = (0..self.nodes).map(|_| Placement::default()).collect();
         // Calls at each server: the node that sent it and the work left.
         let mut running: Vec<VecDeque<(usize, f64)>> = vec![VecDeque::new(); self.servers];
-        let mut outcome = Outcome::default();
+        let mut result = SimulationResult::default();
         let mut last_servers: HashMap<u64, usize> = HashMap::new();
         for now_ms in 0..10_000 {
             for (server, queue) in servers.iter().zip(&mut running) {
-                queue.iter_mut().take(SLOTS).for_each(|(_, left_ms)| *left_ms -= 1.0);
+                queue.iter_mut().take(SERVER_SLOTS).for_each(|(_, left_ms)| *left_ms -= 1.0);
                 for (node, _) in queue.iter().filter(|(_, left_ms)| *left_ms <= 0.0) {
                     nodes[*node].end(&server.id);
                 }
@@ -195,27 +204,28 @@
                     }
                 }
             }
-            while outcome.calls * 1_000 < self.calls_per_s * now_ms {
-                outcome.calls += 1;
+            while result.calls * 1_000 < self.calls_per_s * now_ms {
+                result.calls += 1;
                 let node = random.random_range(0..self.nodes);
-                let line = random.random_range(0..self.lines);
-                let key = format!("{line}");
+                let session = random.random_range(0..self.sessions);
+                let key = format!("{session}");
                 let now = Duration::from_millis(now_ms);
-                let chosen = nodes[node].choose(demand(policy, &key, &[]), servers.iter(), now);
+                let chosen =
+                    nodes[node].choose(placement_request(policy, &key, &[]), servers.iter(), now);
                 let chosen = chosen.expect("some server").id.clone();
                 let index = servers.iter().position(|server| server.id == chosen).expect("listed");
-                if running[index].len() >= SLOTS + QUEUE {
-                    outcome.turned_away += 1;
+                if running[index].len() >= SERVER_SLOTS + SERVER_QUEUE_MAX {
+                    result.rejected += 1;
                     continue;
                 }
-                let last = last_servers.insert(line, index);
-                outcome.moved += u64::from(last.is_some_and(|last| last != index));
-                let work_ms = -CALL_MS * (1.0 - random.random::<f64>()).ln();
+                let last = last_servers.insert(session, index);
+                result.moved += u64::from(last.is_some_and(|last| last != index));
+                let work_ms = -CALL_MEAN_MS * (1.0 - random.random::<f64>()).ln();
                 nodes[node].begin(&chosen);
                 running[index].push_back((node, work_ms));
             }
         }
-        outcome
+        result
     }
 }
 
@@ -223,49 +233,49 @@
 /// that was the least loaded one; it turns calls away although a third of all slots suffices.
 #[test]
 fn stale_loads_of_a_large_fleet_do_not_send_all_nodes_to_one_server() {
-    let load = ToolLoad {
+    let load = SimulatedLoad {
         nodes: 87,
         report_interval_ms: 520,
         calls_per_s: 2_000,
         servers: 26,
-        lines: 1_000_000,
+        sessions: 1_000_000,
     };
-    let herded = load.play(PlacementPolicy::LeastLoaded);
-    let drawn = load.play(PlacementPolicy::TwoChoices);
-    println!("{drawn:?}, least loaded {herded:?}");
-    assert_eq!(drawn.turned_away, 0);
-    assert!(herded.turned_away > 0, "the baseline herds");
+    let least_loaded = load.simulate(PlacementPolicy::LeastLoaded);
+    let two_choices = load.simulate(PlacementPolicy::TwoChoices);
+    println!("{two_choices:?}, least loaded {least_loaded:?}");
+    assert_eq!(two_choices.rejected, 0);
+    assert!(least_loaded.rejected > 0, "the baseline herds");
 }
 
 /// Pattern: lines of turns that leave a loaded server. Each move has a prompt read again, which
 /// is load in turn; a line must not go on to whichever server looks idle.
 #[test]
 fn lines_that_leave_a_loaded_server_do_not_wander() {
-    let load = ToolLoad {
+    let load = SimulatedLoad {
         nodes: 81,
         report_interval_ms: 480,
         calls_per_s: 4_500,
         servers: 56,
-        lines: 500,
+        sessions: 500,
     };
-    let anywhere = load.play(PlacementPolicy::AffinityAnywhere);
-    let next = load.play(PlacementPolicy::Affinity);
+    let anywhere = load.simulate(PlacementPolicy::AffinityAnywhere);
+    let next = load.simulate(PlacementPolicy::Affinity);
     println!("{next:?}, anywhere {anywhere:?}");
     assert!(next.moved * 2 < anywhere.moved, "{next:?}, anywhere {anywhere:?}");
-    assert!(next.turned_away <= anywhere.turned_away, "{next:?}, anywhere {anywhere:?}");
+    assert!(next.rejected <= anywhere.rejected, "{next:?}, anywhere {anywhere:?}");
 }
 
 /// A small fleet loses nothing by it.
 #[test]
 fn two_choices_suffice_in_a_small_fleet() {
-    let load = ToolLoad {
+    let load = SimulatedLoad {
         nodes: 13,
         report_interval_ms: 100,
         calls_per_s: 250,
         servers: 9,
-        lines: 1_000_000,
+        sessions: 1_000_000,
     };
-    assert_eq!(load.play(PlacementPolicy::TwoChoices).turned_away, 0);
+    assert_eq!(load.simulate(PlacementPolicy::TwoChoices).rejected, 0);
 }
 
 #[test]
@@ -274,7 +284,7 @@
     let mut placement = Placement::default();
     let choose = |placement: &Placement, now| {
         let policy = PlacementPolicy::LeastLoaded;
-        let chosen = placement.choose(demand(policy, "k", &[]), servers.iter(), now);
+        let chosen = placement.choose(placement_request(policy, "k", &[]), servers.iter(), now);
         chosen.expect("some server").id.clone()
     };
     let first = choose(&placement, Duration::ZERO);
@@ -293,8 +303,11 @@
     let servers = [entry("a"), entry("b")];
     let mut placement = Placement::default();
     let choose = |placement: &Placement, may_repeat, now| {
-        let demand = Demand { may_repeat, ..demand(PlacementPolicy::TwoChoices, "k", &[]) };
-        placement.choose(demand, servers.iter(), now).expect("some server").id.clone()
+        let request = PlacementRequest {
+            may_repeat,
+            ..placement_request(PlacementPolicy::TwoChoices, "k", &[])
+        };
+        placement.choose(request, servers.iter(), now).expect("some server").id.clone()
     };
     let first = choose(&placement, false, Duration::ZERO);
     let pause = placement.note_failure(&first, Duration::ZERO);
@@ -310,21 +323,21 @@
     let servers = [entry("a"), entry("b")];
     let mut placement = Placement::default();
     let choose = |placement: &Placement| {
-        let demand = demand(PlacementPolicy::TwoChoices, "k", &[]);
-        placement.choose(demand, servers.iter(), Duration::ZERO).expect("some").id.clone()
+        let request = placement_request(PlacementPolicy::TwoChoices, "k", &[]);
+        placement.choose(request, servers.iter(), Duration::ZERO).expect("some").id.clone()
     };
     let first = choose(&placement);
     let mut peer = Placement::default();
     peer.note_failure(&first, Duration::ZERO);
-    let avoided = peer.own_distrust(Duration::ZERO);
-    placement.set_peer_distrust("n1", avoided.clone());
-    placement.set_peer_distrust("n1", avoided.clone());
+    let avoided = peer.own_avoided(Duration::ZERO);
+    placement.set_peer_avoided("n1", avoided.clone());
+    placement.set_peer_avoided("n1", avoided.clone());
     assert_eq!(choose(&placement), first, "one node may have lost its own way there");
-    placement.set_peer_distrust("n2", avoided);
+    placement.set_peer_avoided("n2", avoided);
     assert_ne!(choose(&placement), first);
     placement.forget_peer("n1");
     assert_eq!(choose(&placement), first);
-    assert!(peer.own_distrust(Duration::from_secs(1)).is_empty(), "it has been avoided enough");
+    assert!(peer.own_avoided(Duration::from_secs(1)).is_empty(), "it has been avoided enough");
 }
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
@@ -385,11 +398,11 @@
     let second = Duration::from_secs(1);
     let mut freshness = Freshness::new(5 * second);
     assert!(!freshness.is_fresh(second));
-    freshness.prove(10 * second);
+    freshness.confirm(10 * second);
     assert!(freshness.is_fresh(14 * second));
     assert!(!freshness.is_fresh(15 * second));
     // An answer to an older question proves nothing newer.
-    freshness.prove(9 * second);
+    freshness.confirm(9 * second);
     assert_eq!(freshness.age(12 * second), Some(2 * second));
 }
 
--- a/crates/coordination/tests/journal.rs
+++ b/crates/coordination/tests/journal.rs
@@ -22,17 +22,17 @@
 
 /// What happens to the next transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Fate {
+enum ScriptedOutcome {
     Answered,
     AnswerLost,
     RequestLost,
     Fenced,
 }
 
-/// Table whose transactions meet scripted fates.
+/// Table whose transactions meet scripted outcomes.
 struct FaultyTable {
     memory: Arc<MemoryTable>,
-    fates: RefCell<VecDeque<Fate>>,
+    outcomes: RefCell<VecDeque<ScriptedOutcome>>,
     rows_at_fencing: Cell<Option<usize>>,
 }
 
@@ -60,14 +60,14 @@
 
     async fn transact(&self, transaction: &Transaction) -> PlatformResult<TransactionOutcome> {
         let lost = || PlatformError::AnswerLost { detail: "scripted".to_owned() };
-        match self.fates.borrow_mut().pop_front().unwrap_or(Fate::Answered) {
-            Fate::Answered => Ok(self.memory.apply(transaction)),
-            Fate::AnswerLost => {
+        match self.outcomes.borrow_mut().pop_front().unwrap_or(ScriptedOutcome::Answered) {
+            ScriptedOutcome::Answered => Ok(self.memory.apply(transaction)),
+            ScriptedOutcome::AnswerLost => {
                 self.memory.apply(transaction);
                 Err(lost())
             }
-            Fate::RequestLost => Err(lost()),
-            Fate::Fenced => {
+            ScriptedOutcome::RequestLost => Err(lost()),
+            ScriptedOutcome::Fenced => {
                 write_member(&self.memory, MemberState::Fenced);
                 self.rows_at_fencing.set(self.rows_at_fencing.get().or(Some(self.journal_rows())));
                 Ok(self.memory.apply(transaction))
@@ -103,14 +103,14 @@
     }
 }
 
-/// Appends `count` records against scripted fates; returns those acknowledged and those stored.
-fn run_journal(count: u64, fates: &[Fate]) -> (Vec<u64>, Vec<u64>) {
+/// Appends `count` records against scripted outcomes; returns those acknowledged and those stored.
+fn run_journal(count: u64, outcomes: &[ScriptedOutcome]) -> (Vec<u64>, Vec<u64>) {
     let memory = Arc::new(MemoryTable::default());
     write_member(&memory, MemberState::Live);
     let version = memory.read(Table::Nodes, NODE).map_or(0, |row| row.version);
     let table = Rc::new(FaultyTable {
         memory: Arc::clone(&memory),
-        fates: RefCell::new(fates.iter().copied().collect()),
+        outcomes: RefCell::new(outcomes.iter().copied().collect()),
         rows_at_fencing: Cell::new(None),
     });
     let platform = Platform { table: Rc::clone(&table) as _, objects: memory.platform().objects };
@@ -144,12 +144,12 @@
     (acknowledged, stored.collect())
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn scripted_outcome() -> impl Strategy<Value = ScriptedOutcome> {
     prop_oneof![
-        5 => Just(Fate::Answered),
-        3 => Just(Fate::AnswerLost),
-        3 => Just(Fate::RequestLost),
-        1 => Just(Fate::Fenced),
+        5 => Just(ScriptedOutcome::Answered),
+        3 => Just(ScriptedOutcome::AnswerLost),
+        3 => Just(ScriptedOutcome::RequestLost),
+        1 => Just(ScriptedOutcome::Fenced),
     ]
 }
 
@@ -165,14 +165,14 @@
     #[test]
     fn acknowledged_records_are_stored_once(
         count in 1_u64..12,
-        fates in prop::collection::vec(fate(), 0..30),
+        outcomes in prop::collection::vec(scripted_outcome(), 0..30),
     ) {
-        let (acknowledged, stored) = run_journal(count, &fates);
+        let (acknowledged, stored) = run_journal(count, &outcomes);
         let expected: Vec<u64> = (1..=u64::try_from(stored.len()).expect("few")).collect();
         prop_assert_eq!(&stored, &expected, "stored out of order or twice");
         prop_assert!(acknowledged.len() <= stored.len());
         prop_assert_eq!(&acknowledged[..], &stored[..acknowledged.len()]);
-        if !fates.contains(&Fate::Fenced) {
+        if !outcomes.contains(&ScriptedOutcome::Fenced) {
             prop_assert_eq!(u64::try_from(acknowledged.len()).expect("few"), count);
         }
     }
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -9,30 +9,30 @@
 use dandelionfront_standins::{MemoryRows, StepClock};
 use tokio::task::LocalSet;
 
-const MOST: u64 = 100;
+const TOKENS_MAX: u64 = 100;
 /// Time that a turn takes.
-const TURN: Duration = Duration::from_millis(300);
+const TURN_DURATION: Duration = Duration::from_millis(300);
 
 /// Nodes that reach each other.
 #[derive(Default)]
 struct Fleet {
     clock: StepClock,
     nodes: RefCell<Vec<(ClaimantId, Rc<Ledgers>)>>,
-    asked: RefCell<Vec<ClaimantId>>,
+    release_requests: RefCell<Vec<ClaimantId>>,
 }
 
 impl ClaimHolders for Fleet {
-    fn ask(&self, program: &str, holders: &[ClaimantId]) -> bool {
+    fn request_release(&self, program: &str, holders: &[ClaimantId]) -> bool {
         let nodes = self.nodes.borrow();
-        let reached = nodes.iter().filter(|(id, _)| holders.contains(id));
-        let mut is_any = false;
-        for (id, ledgers) in reached {
-            self.asked.borrow_mut().push(id.clone());
-            is_any = true;
+        let reachable = nodes.iter().filter(|(id, _)| holders.contains(id));
+        let mut has_reached_any = false;
+        for (id, ledgers) in reachable {
+            self.release_requests.borrow_mut().push(id.clone());
+            has_reached_any = true;
             let (ledgers, program) = (Rc::clone(ledgers), program.to_owned());
-            tokio::task::spawn_local(async move { ledgers.give_back(&program).await });
+            tokio::task::spawn_local(async move { ledgers.release_unused(&program).await });
         }
-        is_any
+        has_reached_any
     }
 }
 
@@ -52,7 +52,7 @@
     }
 
     /// Makes a node unreachable.
-    fn kill(&self, name: &str) {
+    fn disconnect(&self, name: &str) {
         self.nodes.borrow_mut().retain(|(id, _)| id != name);
     }
 }
@@ -79,10 +79,10 @@
         let mut refused = 0;
         for turn in 0..40 {
             let node = &nodes[turn % nodes.len()];
-            match node.reserve("p", MOST, budget).await {
+            match node.reserve("p", TOKENS_MAX, budget).await {
                 Ok(_) => {
                     delivered += 60;
-                    node.settle("p", MOST, 60).await;
+                    node.settle("p", TOKENS_MAX, 60).await;
                 }
                 Err(ReserveError::BudgetSpent { .. }) => refused += 1,
                 Err(error) => panic!("{error}"),
@@ -90,7 +90,7 @@
         }
         assert!(delivered <= budget, "{delivered} tokens of {budget}");
         // The last turn starts while its most tokens still fit.
-        assert!(delivered > budget - 2 * MOST, "only {delivered} tokens of {budget}");
+        assert!(delivered > budget - 2 * TOKENS_MAX, "only {delivered} tokens of {budget}");
         assert!(refused > 0);
     })
     .await;
@@ -101,9 +101,9 @@
     with_tasks(async {
         let rows = MemoryRows::default();
         let (_fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
-        nodes[0].reserve("p", MOST, 250).await.expect("fits");
-        nodes[1].reserve("p", MOST, 250).await.expect("fits");
-        let refused = nodes[0].reserve("p", MOST, 250).await;
+        nodes[0].reserve("p", TOKENS_MAX, 250).await.expect("fits");
+        nodes[1].reserve("p", TOKENS_MAX, 250).await.expect("fits");
+        let refused = nodes[0].reserve("p", TOKENS_MAX, 250).await;
         assert!(is_spent(&refused), "{refused:?}");
     })
     .await;
@@ -115,13 +115,13 @@
         let rows = MemoryRows::default();
         let (_fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
         let (first, second) = (&nodes[0], &nodes[1]);
-        let is_first = first.reserve("p", MOST, 250).await.expect("fits");
+        let is_first = first.reserve("p", TOKENS_MAX, 250).await.expect("fits");
         assert!(is_first, "the first turn of the program");
-        first.settle("p", MOST, 30).await;
+        first.settle("p", TOKENS_MAX, 30).await;
         // The second node saw neither the claim nor its settlement.
-        assert!(!second.reserve("p", MOST, 250).await.expect("fits"));
-        second.settle("p", MOST, 30).await;
-        first.reserve("p", MOST, 250).await.expect("60 tokens were delivered, 100 more fit");
+        assert!(!second.reserve("p", TOKENS_MAX, 250).await.expect("fits"));
+        second.settle("p", TOKENS_MAX, 30).await;
+        first.reserve("p", TOKENS_MAX, 250).await.expect("60 tokens were delivered, 100 more fit");
     })
     .await;
 }
@@ -131,16 +131,16 @@
     let rows = MemoryRows::default();
     let ledgers = node(&rows, "a");
     rows.set_faults(RowFaults { lose_answers: 1, ..RowFaults::default() });
-    ledgers.reserve("p", MOST, 300).await.expect("the row shows that the write took effect");
+    ledgers.reserve("p", TOKENS_MAX, 300).await.expect("the row shows that the write took effect");
     assert_eq!(rows.write_count(), 1);
-    ledgers.reserve("p", MOST, 300).await.expect("claimed ahead");
+    ledgers.reserve("p", TOKENS_MAX, 300).await.expect("claimed ahead");
     rows.set_faults(RowFaults { lose_writes: 1, ..RowFaults::default() });
     ledgers
-        .reserve("p", MOST, 300)
+        .reserve("p", TOKENS_MAX, 300)
         .await
         .expect("the row shows that it did not, so it is repeated");
     assert_eq!(rows.write_count(), 3);
-    let refused = ledgers.reserve("p", MOST, 300).await;
+    let refused = ledgers.reserve("p", TOKENS_MAX, 300).await;
     assert!(is_spent(&refused), "{refused:?}");
 }
 
@@ -148,13 +148,13 @@
 async fn an_ample_budget_serves_turns_without_a_write_and_through_an_outage() {
     let rows = MemoryRows::default();
     let ledgers = node(&rows, "a");
-    ledgers.reserve("p", MOST, 5_000).await.expect("fits");
+    ledgers.reserve("p", TOKENS_MAX, 5_000).await.expect("fits");
     assert_eq!(rows.write_count(), 1);
     rows.set_faults(RowFaults { outage: true, ..RowFaults::default() });
     for _ in 0..2 {
-        ledgers.reserve("p", MOST, 5_000).await.expect("claimed ahead");
+        ledgers.reserve("p", TOKENS_MAX, 5_000).await.expect("claimed ahead");
     }
-    let refused = ledgers.reserve("p", MOST, 5_000).await;
+    let refused = ledgers.reserve("p", TOKENS_MAX, 5_000).await;
     assert!(matches!(refused, Err(ReserveError::Store { .. })), "{refused:?}");
     assert_eq!(rows.write_count(), 1);
 }
@@ -169,8 +169,11 @@
     for program in 0..programs {
         let program = format!("p{program}");
         for _ in 0..turns {
-            ledgers.reserve(&program, MOST, 12 * MOST).await.expect("the budget holds the program");
-            ledgers.settle(&program, MOST, 55).await;
+            ledgers
+                .reserve(&program, TOKENS_MAX, 12 * TOKENS_MAX)
+                .await
+                .expect("the budget holds the program");
+            ledgers.settle(&program, TOKENS_MAX, 55).await;
         }
     }
     let writes = rows.write_count();
@@ -187,12 +190,14 @@
             let program = format!("p{program}");
             for turn in 0..9 {
                 let node = &nodes[turn % nodes.len()];
-                node.reserve(&program, MOST, 6 * MOST).await.expect("the budget holds 9 turns");
-                fleet.clock.advance(TURN);
-                node.settle(&program, MOST, 55).await;
+                node.reserve(&program, TOKENS_MAX, 6 * TOKENS_MAX)
+                    .await
+                    .expect("the budget holds 9 turns");
+                fleet.clock.advance(TURN_DURATION);
+                node.settle(&program, TOKENS_MAX, 55).await;
             }
         }
-        assert!(!fleet.asked.borrow().is_empty(), "claims ahead were asked back");
+        assert!(!fleet.release_requests.borrow().is_empty(), "claims ahead were asked back");
     })
     .await;
 }
@@ -203,16 +208,16 @@
     with_tasks(async {
         let rows = MemoryRows::default();
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
-        nodes[0].reserve("p", MOST, 2 * MOST).await.expect("fits");
-        nodes[0].reserve("p", MOST, 2 * MOST).await.expect("fits");
+        nodes[0].reserve("p", TOKENS_MAX, 2 * TOKENS_MAX).await.expect("fits");
+        nodes[0].reserve("p", TOKENS_MAX, 2 * TOKENS_MAX).await.expect("fits");
         for _ in 0..100 {
-            let refused = nodes[1].reserve("p", MOST, 2 * MOST).await;
+            let refused = nodes[1].reserve("p", TOKENS_MAX, 2 * TOKENS_MAX).await;
             assert!(is_spent(&refused), "{refused:?}");
             fleet.clock.advance(Duration::from_millis(100));
         }
         // Rounds of two at 0, 0.25, 0.75, 1.75, 3.75 and 7.75 s.
-        let asked = fleet.asked.borrow().len();
-        assert!(asked <= 12, "{asked} requests in 10 s");
+        let requests = fleet.release_requests.borrow().len();
+        assert!(requests <= 12, "{requests} requests in 10 s");
     })
     .await;
 }
@@ -222,14 +227,14 @@
     with_tasks(async {
         let rows = MemoryRows::default();
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
-        nodes[0].reserve("p", MOST, 500).await.expect("fits");
-        fleet.kill("a");
+        nodes[0].reserve("p", TOKENS_MAX, 500).await.expect("fits");
+        fleet.disconnect("a");
         // Half of the 400 tokens that were unclaimed beside its turn are lost with the node.
         for _ in 0..2 {
-            nodes[1].reserve("p", MOST, 500).await.expect("fits beside the claim");
-            nodes[1].settle("p", MOST, 100).await;
+            nodes[1].reserve("p", TOKENS_MAX, 500).await.expect("fits beside the claim");
+            nodes[1].settle("p", TOKENS_MAX, 100).await;
         }
-        let refused = nodes[1].reserve("p", MOST, 500).await;
+        let refused = nodes[1].reserve("p", TOKENS_MAX, 500).await;
         assert!(is_spent(&refused), "{refused:?}");
     })
     .await;
@@ -239,11 +244,11 @@
 async fn a_planned_stop_gives_unused_claims_back() {
     let rows = MemoryRows::default();
     let (first, second) = (node(&rows, "a"), node(&rows, "b"));
-    first.reserve("p", MOST, 1_200).await.expect("fits, with turns ahead");
-    first.settle("p", MOST, 10).await;
-    assert_eq!(first.give_back_all(Duration::ZERO).await, 1);
+    first.reserve("p", TOKENS_MAX, 1_200).await.expect("fits, with turns ahead");
+    first.settle("p", TOKENS_MAX, 10).await;
+    assert_eq!(first.release_unused_since(Duration::ZERO).await, 1);
     for _ in 0..11 {
-        second.reserve("p", MOST, 1_200).await.expect("1190 tokens are free");
+        second.reserve("p", TOKENS_MAX, 1_200).await.expect("1190 tokens are free");
     }
 }
 
@@ -251,13 +256,13 @@
 async fn a_claim_of_a_forgotten_program_counts_as_used() {
     let rows = MemoryRows::default();
     let ledgers = node(&rows, "a");
-    ledgers.reserve("p", MOST, 500).await.expect("fits");
-    ledgers.settle("p", MOST, 90).await;
+    ledgers.reserve("p", TOKENS_MAX, 500).await.expect("fits");
+    ledgers.settle("p", TOKENS_MAX, 90).await;
     ledgers.forget(Duration::MAX);
     for _ in 0..2 {
-        ledgers.reserve("p", MOST, 500).await.expect("200 tokens are free beside the claim");
-        ledgers.settle("p", MOST, 100).await;
+        ledgers.reserve("p", TOKENS_MAX, 500).await.expect("200 tokens are free beside the claim");
+        ledgers.settle("p", TOKENS_MAX, 100).await;
     }
-    let refused = ledgers.reserve("p", MOST, 500).await;
+    let refused = ledgers.reserve("p", TOKENS_MAX, 500).await;
     assert!(is_spent(&refused), "{refused:?}");
 }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -52,7 +52,7 @@
 
     /// Shares never sum to more than the whole, and a moved share never counts as original.
     #[test]
-    fn transfers_mint_nothing(
+    fn transfers_never_increase_the_total(
         holders in 1_usize..6,
         moves in prop::collection::vec((0_usize..8, 0_usize..8), 0..40),
     ) {
--- a/crates/coordination/tests/shards.rs
+++ b/crates/coordination/tests/shards.rs
@@ -19,14 +19,14 @@
 const TEAM: &str = "crew";
 
 /// The parts of one node that own a shard.
-struct Part {
+struct ShardNode {
     id: String,
     journal: Rc<Journal>,
     owner: Rc<Owner>,
     shards: Shards,
 }
 
-impl Part {
+impl ShardNode {
     fn new(memory: &Arc<MemoryTable>, id: &str) -> Self {
         let row = Transaction::default().put(Table::Nodes, id, serde_json::Value::Null);
         let TransactionOutcome::Committed(version) = memory.apply(&row) else {
@@ -55,7 +55,7 @@
     }
 
     /// Reconciles with `assigned` as the preferred owner of the only shard.
-    async fn reconcile(&self, assigned: &Part) {
+    async fn reconcile(&self, assigned: &ShardNode) {
         let assignment = |_| Some(assigned.id.clone());
         self.shards.reconcile(&assignment, &|_| false).await.expect("the table answers");
     }
@@ -91,12 +91,12 @@
 #[tokio::test]
 async fn a_shard_that_returns_to_a_former_owner_keeps_its_records() {
     let memory = Arc::new(MemoryTable::default());
-    let (first, second) = (Part::new(&memory, "node-a"), Part::new(&memory, "node-b"));
+    let (first, second) = (ShardNode::new(&memory, "node-a"), ShardNode::new(&memory, "node-b"));
     let program = program_id(REGION, 0, 7);
     let journals = async {
         futures_util::future::join(first.journal.run(), second.journal.run()).await;
     };
-    let story = async {
+    let scenario = async {
         first.reconcile(&first).await;
         let spec = ProgramSpec { team: TEAM.to_owned(), parent: None, budget_tokens: None };
         first.owner.open(program.clone(), spec).await.expect("opened");
@@ -110,5 +110,5 @@
             assert_eq!(known.next_sequence(), sequence + 1, "records are lost at {}", to.id);
         }
     };
-    select(std::pin::pin!(story), std::pin::pin!(journals)).await;
+    select(std::pin::pin!(scenario), std::pin::pin!(journals)).await;
 }
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -19,7 +19,7 @@
     Turns::new(Rc::new(rows.clone()), 1 << 20)
 }
 
-async fn keep_three(turns: &Turns) {
+async fn keep_three_turns(turns: &Turns) {
     turns.keep("t1", record(&[], b"in1 ", b"out1\n")).await.expect("kept");
     turns.keep("t2", record(&["t1"], b"in2 ", b"out2\n")).await.expect("kept");
     turns.keep("t3", record(&["t1", "t2"], b"\xff\x00", b"out3\n")).await.expect("kept");
@@ -28,7 +28,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_cold_node_assembles_the_whole_chain_in_order() {
     let rows = MemoryRows::default();
-    keep_three(&node(&rows)).await;
+    keep_three_turns(&node(&rows)).await;
     let chain = node(&rows).chain("alpha", "t3").await.expect("known");
     let prompt = assemble(&chain, b"new");
     assert_eq!(prompt, b"in1 out1\nin2 out2\n\xff\x00out3\nnew");
@@ -38,7 +38,7 @@
 async fn two_turns_may_continue_from_the_same_one() {
     let rows = MemoryRows::default();
     let turns = node(&rows);
-    keep_three(&turns).await;
+    keep_three_turns(&turns).await;
     turns.keep("t4", record(&["t1"], b"in4 ", b"out4\n")).await.expect("kept");
     let chain = node(&rows).chain("alpha", "t4").await.expect("known");
     assert_eq!(assemble(&chain, b"x"), b"in1 out1\nin4 out4\nx");
@@ -48,7 +48,7 @@
 async fn turns_of_other_teams_and_unknown_turns_do_not_exist() {
     let rows = MemoryRows::default();
     let turns = node(&rows);
-    keep_three(&turns).await;
+    keep_three_turns(&turns).await;
     for (team, turn) in [("beta", "t3"), ("alpha", "t9")] {
         let error = turns.chain(team, turn).await.expect_err("not this team's");
         assert!(matches!(error, TurnError::Unknown { .. }), "{error:?}");
@@ -58,7 +58,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn an_outage_leaves_open_whether_a_turn_exists() {
     let rows = MemoryRows::default();
-    keep_three(&node(&rows)).await;
+    keep_three_turns(&node(&rows)).await;
     rows.set_faults(RowFaults { outage: true, ..RowFaults::default() });
     let error = node(&rows).chain("alpha", "t3").await.expect_err("unreadable");
     assert!(matches!(error, TurnError::Store { .. }), "{error:?}");
@@ -79,7 +79,7 @@
 async fn a_full_cache_drops_the_oldest_turns_and_reads_them_again() {
     let rows = MemoryRows::default();
     let turns = Turns::new(Rc::new(rows.clone()), 700);
-    keep_three(&turns).await;
+    keep_three_turns(&turns).await;
     let chain = turns.chain("alpha", "t3").await.expect("read from the store");
     assert_eq!(chain.len(), 3);
 }
--- a/crates/coordination/tests/usage.rs
+++ b/crates/coordination/tests/usage.rs
@@ -5,7 +5,7 @@
 
 use dandelionfront_coordination::limits::bucket::BucketLimits;
 use dandelionfront_coordination::limits::usage::{
-    Step, UsageLimiter, report_interval, silent_after, team_hash,
+    Step, UsageLimiter, report_interval, silence_timeout, team_hash,
 };
 use rand::rngs::StdRng;
 use rand::{Rng as _, SeedableRng as _};
@@ -22,7 +22,7 @@
     nodes: Vec<UsageLimiter>,
     now: Duration,
     steps: u32,
-    cut: Vec<usize>,
+    partitioned: Vec<usize>,
     sent_at: Vec<Duration>,
 }
 
@@ -35,7 +35,7 @@
             });
         }
         let now = Duration::from_secs(1);
-        Self { nodes, now, steps: 0, cut: Vec::new(), sent_at: Vec::new() }
+        Self { nodes, now, steps: 0, partitioned: Vec::new(), sent_at: Vec::new() }
     }
 
     fn advance(&mut self) {
@@ -47,8 +47,9 @@
         for sender in 0..self.nodes.len() {
             let admitted = self.nodes[sender].own_admitted();
             for receiver in 0..self.nodes.len() {
-                let is_cut = self.cut.contains(&sender) != self.cut.contains(&receiver);
-                if sender != receiver && !is_cut {
+                let is_partitioned =
+                    self.partitioned.contains(&sender) != self.partitioned.contains(&receiver);
+                if sender != receiver && !is_partitioned {
                     let name = format!("n{sender}");
                     self.nodes[receiver].note_report(&name, 1, admitted.clone(), self.now);
                 }
@@ -123,10 +124,10 @@
     let mut fleet = Fleet::new(12);
     for step in 0..3_000 {
         if step == 1_000 {
-            fleet.cut = vec![0, 1, 2];
+            fleet.partitioned = vec![0, 1, 2];
         }
         if step == 2_000 {
-            fleet.cut.clear();
+            fleet.partitioned.clear();
         }
         fleet.advance();
         for _ in 0..4 {
@@ -143,8 +144,8 @@
     let mut fleet = Fleet::new(4);
     (0..200).for_each(|_| fleet.advance());
     assert!((fleet.nodes[0].covered_share(fleet.now) - 1.0).abs() < f64::EPSILON);
-    fleet.cut = vec![3];
-    let silent_at = fleet.now + silent_after(3) + Duration::from_millis(200);
+    fleet.partitioned = vec![3];
+    let silent_at = fleet.now + silence_timeout(3) + Duration::from_millis(200);
     while fleet.now < silent_at {
         fleet.advance();
     }
@@ -226,7 +227,7 @@
 
 /// Pattern: a team whose limit was lowered far below what its programs need. Finishing few
 /// programs beats starting many.
-fn programs_finished(holds_new_back: bool, time_left: Duration) -> usize {
+fn programs_finished(defers_new: bool, time_left: Duration) -> usize {
     const REQUESTS: u32 = 15;
     let mut random = StdRng::seed_from_u64(3);
     let mut fleet = Fleet::new(13);
@@ -245,7 +246,7 @@
                 kept.push((done, at));
                 continue;
             }
-            let is_first = done == 0 && holds_new_back;
+            let is_first = done == 0 && defers_new;
             let place = if is_first { Step::Begins } else { Step::Continues { time_left } };
             let is_sent = fleet.take(random.random_range(0..13), place);
             match done + u32::from(is_sent) {
@@ -276,10 +277,10 @@
 #[test]
 fn requests_with_time_left_wait_for_their_tokens() {
     let finished = |time_left_ms| programs_finished(true, Duration::from_millis(time_left_ms));
-    let (patient, hasty) = (finished(3_000), finished(300));
-    println!("finished {patient} programs with 3 s left, {hasty} with 0.3 s");
-    assert!(patient >= 90, "{patient} finished");
-    assert!(patient > hasty, "{patient} finished, {hasty} in haste");
+    let (long_deadline, short_deadline) = (finished(3_000), finished(300));
+    println!("finished {long_deadline} programs with 3 s left, {short_deadline} with 0.3 s");
+    assert!(long_deadline >= 90, "{long_deadline} finished");
+    assert!(long_deadline > short_deadline, "{long_deadline} finished, {short_deadline} in haste");
 }
 
 /// A team over its limit whose programs go through many nodes.
@@ -294,10 +295,10 @@
 
 /// Programs of 30 s.
 #[derive(Debug, Default)]
-struct Outcome {
+struct SimulationResult {
     in_time: u32,
     late: u32,
-    cut: u32,
+    abandoned: u32,
 }
 
 #[derive(Debug)]
@@ -305,8 +306,8 @@
     turns_left: u32,
     /// Calls before the next turn.
     calls_left: u32,
-    has_begun: bool,
-    tries: u32,
+    has_started: bool,
+    refusals: u32,
     waited: Duration,
     waited_max: Duration,
     next_at: Duration,
@@ -317,8 +318,8 @@
         Self {
             turns_left: turns,
             calls_left: 0,
-            has_begun: false,
-            tries: 0,
+            has_started: false,
+            refusals: 0,
             waited: Duration::ZERO,
             // A turn with its calls takes 0.4 s; the aim leaves 0.7 of that, and 0.25 s.
             waited_max: Duration::from_millis(u64::from(turns) * 280 + 250),
@@ -327,7 +328,7 @@
     }
 
     fn step(&self) -> Step {
-        match (self.has_begun, self.calls_left) {
+        match (self.has_started, self.calls_left) {
             (false, _) => Step::Begins,
             (true, 0) => Step::Continues { time_left: Duration::from_secs(3) },
             (true, _) => Step::Continues { time_left: Duration::from_millis(1_200) },
@@ -337,8 +338,8 @@
     /// Records a request that was sent after `wait`; returns whether the program has ended.
     fn advance(&mut self, wait: Duration, now: Duration, calls: u32) -> bool {
         self.waited += wait;
-        self.tries = 0;
-        self.has_begun = true;
+        self.refusals = 0;
+        self.has_started = true;
         if self.calls_left > 0 {
             self.calls_left -= 1;
             self.next_at = now + wait + Duration::from_millis(30);
@@ -352,24 +353,24 @@
 
     /// Records a refusal; returns whether the program is given up.
     fn refuse(&mut self, pause: Duration) -> bool {
-        self.tries += 1;
+        self.refusals += 1;
         self.waited += pause;
         self.next_at += pause;
-        self.tries >= if self.calls_left > 0 { 2 } else { 6 }
+        self.refusals >= if self.calls_left > 0 { 2 } else { 6 }
     }
 }
 
 impl LimitedTeam {
-    fn play(&self) -> Outcome {
+    fn simulate(&self) -> SimulationResult {
         let limits = BucketLimits { rate_per_s: self.rate_per_s, burst: self.rate_per_s };
         let mut random = StdRng::seed_from_u64(9);
         let mut fleet = Fleet::new(self.nodes);
-        let (mut outcome, mut programs) = (Outcome::default(), Vec::<Program>::new());
+        let (mut result, mut programs) = (SimulationResult::default(), Vec::<Program>::new());
         let requests_mean = f64::from(self.turns_max) * 1.5;
-        let begins_per_step = self.rate_per_s * self.demand / requests_mean * STEP.as_secs_f64();
+        let starts_per_step = self.rate_per_s * self.demand / requests_mean * STEP.as_secs_f64();
         for _ in 0..3_000 {
             fleet.advance();
-            if random.random_bool(begins_per_step) {
+            if random.random_bool(starts_per_step) {
                 programs.push(Program::new(random.random_range(1..=self.turns_max), fleet.now));
             }
             programs.retain_mut(|program| {
@@ -382,17 +383,17 @@
                 let Ok(wait) = taken else {
                     let pause = Duration::from_millis(random.random_range(100..400));
                     let is_lost = program.refuse(pause);
-                    outcome.cut += u32::from(is_lost && program.has_begun);
+                    result.abandoned += u32::from(is_lost && program.has_started);
                     return !is_lost;
                 };
                 let has_ended = program.advance(wait, fleet.now, random.random_range(0..4));
                 let is_late = program.waited > program.waited_max;
-                outcome.in_time += u32::from(has_ended && !is_late);
-                outcome.late += u32::from(has_ended && is_late);
+                result.in_time += u32::from(has_ended && !is_late);
+                result.late += u32::from(has_ended && is_late);
                 !has_ended
             });
         }
-        outcome
+        result
     }
 }
 
@@ -400,13 +401,13 @@
 /// take its bucket for full: too many programs would begin, and few would end in time.
 #[test]
 fn a_limited_team_finishes_as_much_through_many_nodes_as_through_few() {
-    let play = |nodes| {
+    let simulate = |nodes| {
         let team = LimitedTeam { nodes, rate_per_s: 20.0, turns_max: 7, demand: 1.5 };
-        let outcome = team.play();
-        println!("{nodes} nodes: {outcome:?}");
-        outcome
+        let result = team.simulate();
+        println!("{nodes} nodes: {result:?}");
+        result
     };
-    let (few, many) = (play(11), play(87));
+    let (few, many) = (simulate(11), simulate(87));
     assert!(many.in_time * 10 >= few.in_time * 8, "{many:?} against {few:?}");
-    assert_eq!(many.cut, 0, "{many:?}");
+    assert_eq!(many.abandoned, 0, "{many:?}");
 }
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -13,7 +13,7 @@
 
 use dandelionfront_coordination::ledger::{ClaimHolders, ClaimantId};
 use dandelionfront_coordination::limits::usage::{
-    Admitted, TeamHash, report_interval, silent_after,
+    Admitted, TeamHash, report_interval, silence_timeout,
 };
 use dandelionfront_coordination::rows::{RowRead, RowStore as _, RowStoreError, RowWrite};
 use serde::{Deserialize, Serialize};
@@ -108,7 +108,9 @@
                 Ok(Message::GiveBack { program }) => {
                     log::info!("event=claim_asked program={program} by={sender}");
                     let node = Rc::clone(node);
-                    tokio::task::spawn_local(async move { node.ledgers.give_back(&program).await });
+                    tokio::task::spawn_local(
+                        async move { node.ledgers.release_unused(&program).await },
+                    );
                 }
                 Err(error) => {
                     log::info!("event=datagram_malformed sender={sender} cause=\"{error}\"");
@@ -146,7 +148,7 @@
             incarnation: self.incarnation,
             admitted: node.limiter.borrow().own_admitted().into_iter().collect(),
             in_flight: node.placement.borrow().own_load(),
-            avoided: node.placement.borrow().own_distrust(now),
+            avoided: node.placement.borrow().own_avoided(now),
             is_leaving,
             has_store: !node.reach.is_lost() && node.table().version() > 0,
         };
@@ -214,7 +216,7 @@
 }
 
 impl ClaimHolders for Peers {
-    fn ask(&self, program: &str, holders: &[ClaimantId]) -> bool {
+    fn request_release(&self, program: &str, holders: &[ClaimantId]) -> bool {
         let message = Message::GiveBack { program: program.to_owned() };
         let bytes = match postcard::to_allocvec(&message) {
             Ok(bytes) => bytes,
@@ -258,8 +260,8 @@
         limiter.note_report(&member, report.incarnation, admitted, now);
         limiter.members(now).count()
     };
-    node.reach.note_helper(sender, report.has_store, silent_after(members));
+    node.reach.note_helper(sender, report.has_store, silence_timeout(members));
     let mut placement = node.placement.borrow_mut();
     placement.set_peer_load(&member, report.in_flight);
-    placement.set_peer_distrust(&member, report.avoided);
+    placement.set_peer_avoided(&member, report.avoided);
 }
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -177,7 +177,7 @@
         tokio::time::sleep(STOP_CHECK).await;
     }
     let now = node.clock.monotonic_now();
-    node.ledgers.give_back_all(now.saturating_sub(STOP_GIVE_BACK)).await;
+    node.ledgers.release_unused_since(now.saturating_sub(STOP_GIVE_BACK)).await;
     peers.say_goodbye(node).await;
     log::info!(
         "event=stopped elapsed_ms={} connections={} requests={}",
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -120,7 +120,7 @@
     /// Records that the store had no newer configuration at `asked_at`.
     pub fn prove_fresh(&self, asked_at: Duration) {
         let was_fresh = self.freshness.borrow().is_fresh(self.clock.boot_now());
-        self.freshness.borrow_mut().prove(asked_at);
+        self.freshness.borrow_mut().confirm(asked_at);
         if !was_fresh {
             log::info!("event=config_fresh version={}", self.table().version());
         }
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use dandelionfront_coordination::ids::BackendId;
-use dandelionfront_coordination::placement::{Demand, PlacementPolicy};
+use dandelionfront_coordination::placement::{PlacementPolicy, PlacementRequest};
 use dandelionfront_coordination::servers::ServerEntry;
 use dandelionfront_coordination::{Refusal, RefusalKind};
 use http::{Response, StatusCode};
@@ -208,7 +208,7 @@
             Some(_) => PlacementPolicy::Affinity,
             None => PlacementPolicy::TwoChoices,
         };
-        let demand = Demand {
+        let demand = PlacementRequest {
             policy,
             key: &self.admitted.placement_key,
             may_repeat: self.admitted.route.repeat.may_repeat(),
--- a/crates/daemon/src/front/request/turn.rs
+++ b/crates/daemon/src/front/request/turn.rs
@@ -166,11 +166,11 @@
 
 impl Drop for OpenTurn {
     fn drop(&mut self) {
-        let Some((program, most_tokens)) = self.reserved.take() else { return };
+        let Some((program, tokens_max)) = self.reserved.take() else { return };
         let node = Rc::clone(&self.node);
         let delivered_tokens = self.delivered_events * self.tokens_per_event;
         tokio::task::spawn_local(async move {
-            node.ledgers.settle(&program, most_tokens, delivered_tokens).await;
+            node.ledgers.settle(&program, tokens_max, delivered_tokens).await;
         });
     }
 }
