--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -1,9 +1,10 @@
-//! Token budgets of programs, kept in one row a program.
+//! Token budgets of programs, stored in one row per program.
 //!
-//! A node starts a turn only within tokens that it claimed in the row before, so the sum over all
-//! nodes stays within the budget whatever fails. A claim covers several turns ahead: one write
-//! then serves most of a program, and a program that has begun goes on while the store is away.
-//! A node that finds the budget claimed by others asks them to give back what they do not use.
+//! A node starts a turn only if its claim in the row covers the turn's tokens, so the total over
+//! all nodes stays within the budget whatever fails. A claim covers several turns ahead. One write
+//! then suffices for most of a program, and a started program continues during a store outage. A
+//! node that finds the budget claimed by others asks them to release the tokens that they do not
+//! use.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -19,50 +20,51 @@
 
 /// Table of the ledgers.
 pub const LEDGER_TABLE: &str = "ledgers";
-/// Parts of the table; one part carries 200 writes a second, and the store 800 in all.
+/// Partitions of the table; each supports 200 writes per second, and the whole store 800.
 const LEDGER_PARTS: u64 = 64;
-/// Conflicts after which a reservation is given up; each means that another node wrote.
+/// Number of write conflicts after which a reservation fails; each means that another node wrote.
 const CONFLICTS_MAX: u32 = 16;
 
-/// Writes turned away for calling too often after which a reservation is given up.
+/// Number of retries of rate-limited writes after which a reservation fails.
 const RATE_LIMIT_RETRIES_MAX: u32 = 5;
-/// Shortest and longest pause after such a write.
+/// Range of the random backoff after a rate-limited write.
 const RATE_LIMIT_BACKOFF_MS: std::ops::Range<u64> = 20..120;
-/// HTTP status of a call that is turned away for calling too often.
+/// HTTP status of a rate-limited call to the store.
 const RATE_LIMIT_STATUS: u16 = 429;
-/// Reads after which a row whose answers are lost counts as unreadable.
+/// Maximum number of attempts to read a row whose answers are lost.
 const READ_ATTEMPTS_MAX: u32 = 4;
-/// Most turns that a claim covers beside the one that asked for it: what a killed node leaves
-/// claimed is lost to its programs.
+/// Maximum number of further turns that a claim covers. The limit bounds the loss when a node is
+/// killed, because the tokens it had claimed are lost to their programs.
 const TURNS_AHEAD_MAX: u64 = 2;
-/// Part of the unclaimed budget that a claim covers ahead, so that another node finds some.
+/// A claim covers further turns up to the unclaimed budget divided by this, which leaves tokens for
+/// other nodes.
 const AHEAD_DIVISOR: u64 = 2;
-/// Times that other nodes are asked to give back what they do not use.
+/// Maximum rounds of release requests per reservation.
 const RELEASE_ROUNDS_MAX: u32 = 2;
-/// Time after a round of requests that did not help before the next one for the program; doubles
-/// with each, because a program that loops without end asks for ever.
+/// Initial backoff after release requests that did not free enough tokens. It doubles each time,
+/// because a program in an endless loop would otherwise cause a steady stream of requests.
 const RELEASE_BACKOFF_MIN: Duration = Duration::from_millis(250);
-/// Longest such time.
+/// Maximum backoff between release requests.
 const RELEASE_BACKOFF_MAX: Duration = Duration::from_secs(4);
-/// Time in which a node that was asked writes the row.
+/// Time that other nodes get to release tokens before the row is read again.
 const RELEASE_WAIT: Duration = Duration::from_millis(25);
 
-/// Identifier of one run of a node, as in claims.
+/// Identifier of one run of a node, used in claims.
 pub type ClaimantId = String;
 
 /// Contents of a program's row.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Tokens delivered by turns whose end is recorded.
+    /// Tokens delivered by turns whose end is recorded in the row.
     #[serde(rename = "settled")]
     pub settled_tokens: u64,
-    /// Further tokens that each node may deliver.
+    /// Further tokens that each node may deliver, by claimant.
     #[serde(rename = "claims")]
     pub claimed_tokens: BTreeMap<ClaimantId, u64>,
 }
 
 impl Ledger {
-    /// Returns the most tokens that have been or may still be delivered.
+    /// Returns the maximum number of tokens that have been or may still be delivered.
     #[must_use]
     pub fn committed_tokens(&self) -> u64 {
         self.settled_tokens.saturating_add(self.claimed_tokens.values().sum())
@@ -77,10 +79,10 @@
     }
 }
 
-/// Why a turn may not start.
+/// Reason why a turn may not start.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum ReserveError {
-    /// The budget does not hold another turn.
+    /// The budget does not cover another turn.
     #[snafu(display(
         "the program's token budget is spent ({committed_tokens} of {budget_tokens} tokens); \
          start a new program or raise its budget"
@@ -91,13 +93,13 @@
         /// Budget of the program.
         budget_tokens: u64,
     },
-    /// Whether the budget holds another turn cannot be told.
+    /// The store failed, so it is unknown whether the budget covers another turn.
     #[snafu(display("the program's budget cannot be read: {source}; retry later"))]
     Store {
         /// Cause.
         source: RowStoreError,
     },
-    /// Other nodes kept writing the row.
+    /// Every write conflicted with a write of another node.
     #[snafu(display("the program's budget is contended; retry later"))]
     Contended,
 }
@@ -106,30 +108,30 @@
 struct CachedLedger {
     row_version: u64,
     ledger: Ledger,
-    /// Tokens delivered by ended turns within the claim, not yet settled in the row.
+    /// Tokens delivered by ended turns under the claim and not yet settled in the row.
     unsettled_tokens: u64,
-    /// Most tokens of the turns under way.
+    /// Tokens reserved for running turns.
     running_tokens: u64,
     used_at: Duration,
-    /// Time before which other nodes are not asked again to give back claims.
+    /// Earliest time of the next release request to other nodes.
     next_release_request_at: Duration,
-    /// Rounds of such requests in a row that did not help.
-    failed_release_rounds: u32,
-    /// Whether this node has read or written the row since it last forgot it.
+    /// Number of consecutive reservations that used up their release requests without success.
+    failed_release_attempts: u32,
+    /// Whether this node has read or written the row since it was last evicted.
     is_loaded: bool,
-    /// A write whose answer was lost: it may take effect seconds later.
+    /// A write whose answer was lost; it may still take effect seconds later.
     pending: Option<PendingWrite>,
 }
 
 #[derive(Debug)]
 struct PendingWrite {
     ledger: Ledger,
-    /// Used tokens that the write settles.
+    /// Unsettled tokens that the write settles.
     unsettled_tokens: u64,
 }
 
 impl CachedLedger {
-    /// Returns the row as it would be with this node's claim reduced to what runs.
+    /// Returns the row with ended turns settled and this node's claim reduced to running turns.
     fn settled(&self, claimant: &str) -> Ledger {
         let mut next = self.ledger.clone();
         next.settled_tokens = next.settled_tokens.saturating_add(self.unsettled_tokens);
@@ -137,11 +139,11 @@
         next
     }
 
-    /// Puts the next round of requests to other nodes off.
+    /// Delays the next release request to other nodes by an exponential backoff.
     fn back_off_release_requests(&mut self) {
-        let backoff = RELEASE_BACKOFF_MIN * 2_u32.saturating_pow(self.failed_release_rounds);
+        let backoff = RELEASE_BACKOFF_MIN * 2_u32.saturating_pow(self.failed_release_attempts);
         self.next_release_request_at = self.used_at + backoff.min(RELEASE_BACKOFF_MAX);
-        self.failed_release_rounds += 1;
+        self.failed_release_attempts += 1;
     }
 
     fn own_claim(&self, claimant: &str) -> u64 {
@@ -149,14 +151,16 @@
     }
 }
 
-/// Asks nodes to give back claims; nothing is answered, the row tells whether they did.
+/// Sends release requests to other nodes.
+///
+/// The requests are not answered; the row shows whether tokens were released.
 pub trait ClaimHolders {
-    /// Asks `holders` to give back what they do not use of `program`; returns whether any of them
-    /// could be asked.
+    /// Asks `holders` to release the tokens of `program` that they do not use; returns whether a
+    /// request was sent to any of them.
     fn request_release(&self, program: &str, holders: &[ClaimantId]) -> bool;
 }
 
-/// Ledgers of the programs that this node serves.
+/// Cache of the ledgers of programs that this node serves.
 pub struct Ledgers {
     store: SharedRowStore,
     clock: Rc<dyn Clock>,
@@ -166,7 +170,7 @@
 }
 
 impl Ledgers {
-    /// Creates an empty cache over `store`; `claimant` must differ for each run of a node.
+    /// Creates an empty cache over `store`; `claimant` must be unique for each run of a node.
     #[must_use]
     pub fn new(
         store: SharedRowStore,
@@ -181,7 +185,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the budget does not hold the turn or when that cannot be told.
+    /// Fails when the budget does not cover the turn or when the store cannot tell.
     pub async fn reserve(
         &self,
         program: &str,
@@ -198,7 +202,7 @@
         }
         let delivered_tokens = cached.ledger.settled_tokens + cached.unsettled_tokens;
         if delivered_tokens.saturating_add(tokens_max) > budget_tokens {
-            // What was delivered only grows, so no other node can give enough back.
+            // Delivered tokens never decrease, so releases by other nodes cannot suffice.
             let next = cached.settled(&self.claimant);
             self.log_spent(program, &cached, &next, budget_tokens);
             let committed_tokens = next.committed_tokens();
@@ -214,7 +218,7 @@
             let Some(unclaimed) =
                 budget_tokens.checked_sub(committed_tokens.saturating_add(tokens_max))
             else {
-                // Another node may have given tokens back since the row was seen.
+                // Another node may have released tokens since the row was last read.
                 if is_current {
                     let own_tokens = next.settled_tokens + cached.running_tokens + tokens_max;
                     let is_requested = own_tokens <= budget_tokens
@@ -260,14 +264,14 @@
                     unclaimed - ahead,
                 );
                 cached.running_tokens += tokens_max;
-                cached.failed_release_rounds = 0;
+                cached.failed_release_attempts = 0;
                 return Ok(is_first);
             }
         }
         Err(ReserveError::Contended)
     }
 
-    /// Asks the nodes with claims other than this one; returns whether any could be asked.
+    /// Sends release requests to the other nodes with claims; returns whether any was sent.
     fn request_release(&self, program: &str, ledger: &Ledger) -> bool {
         let claimants = ledger.claimed_tokens.keys();
         let others: Vec<ClaimantId> =
@@ -286,7 +290,7 @@
         );
     }
 
-    /// Records that a turn that reserved `tokens_max` ended after `delivered_tokens`.
+    /// Replaces the reservation of an ended turn, `tokens_max`, by its `delivered_tokens`.
     pub async fn settle(&self, program: &str, tokens_max: u64, delivered_tokens: u64) {
         let cached = self.cached(program);
         let mut cached = cached.lock().await;
@@ -295,7 +299,7 @@
         cached.unsettled_tokens += delivered_tokens;
     }
 
-    /// Gives back what this node does not use of `program`, for a node that asked.
+    /// Releases the tokens of `program` that this node does not use, as requested by another node.
     pub async fn release_unused(&self, program: &str) {
         let known = self.programs.borrow().get(program).cloned();
         let Some(known) = known else { return };
@@ -303,8 +307,8 @@
         self.settle_row(program, &mut cached).await;
     }
 
-    /// Gives back what this node does not use of programs with a turn since `used_since`, a
-    /// monotonic time; returns the rows written.
+    /// Releases the unused tokens of programs with a turn since `used_since`, a monotonic time;
+    /// returns the number of rows written.
     pub async fn release_unused_since(&self, used_since: Duration) -> usize {
         let mut written = 0;
         for (program, known) in self.known_programs() {
@@ -316,9 +320,10 @@
         written
     }
 
-    /// Forgets programs without a turn since `used_before`, a monotonic time.
+    /// Evicts programs without a turn since `used_before`, a monotonic time.
     ///
-    /// Their claims stay in the rows and count as used if such a program comes back.
+    /// Their claims stay in the rows. If such a program returns, its old claim is treated as
+    /// delivered.
     pub fn forget(&self, used_before: Duration) {
         self.programs.borrow_mut().retain(|_, known| {
             known
@@ -327,7 +332,8 @@
         });
     }
 
-    /// Writes the row with this node's claim reduced to what runs; returns whether it did.
+    /// Writes the row with this node's claim reduced to running turns; returns whether it was
+    /// written.
     async fn settle_row(&self, program: &str, cached: &mut CachedLedger) -> bool {
         for _ in 0..CONFLICTS_MAX {
             if cached.own_claim(&self.claimant) == cached.running_tokens {
@@ -336,7 +342,7 @@
             let next = cached.settled(&self.claimant);
             match self.write(program, cached, next).await {
                 Ok(true) => return true,
-                // Another node wrote; this one writes over the new row.
+                // Another node wrote first; the next attempt is based on its row.
                 Ok(false) => {}
                 Err(error) => {
                     log::warn!("event=settle_failed program={program} cause=\"{error}\"");
@@ -357,7 +363,7 @@
         Rc::clone(programs.entry(program.to_owned()).or_default())
     }
 
-    /// Writes `next` over the row last seen; returns whether it took effect.
+    /// Writes `next` if the row still has its last known version; returns whether it took effect.
     async fn write(
         &self,
         program: &str,
@@ -389,8 +395,8 @@
             Err(RowStoreError::AnswerLost { .. }) => {
                 let unsettled_tokens = cached.unsettled_tokens;
                 cached.pending = Some(PendingWrite { ledger: next.clone(), unsettled_tokens });
-                // The row tells whether the write took effect; if it comes later, its condition
-                // fails against whatever is written next.
+                // The row shows whether the write took effect. A write that arrives later fails its
+                // version check as soon as another write has succeeded.
                 self.refresh(program, cached).await?;
                 Ok(cached.ledger == next)
             }
@@ -413,9 +419,9 @@
 }
 
 impl CachedLedger {
-    /// Takes over the current row.
+    /// Replaces the cached row by the current one.
     ///
-    /// A claim from before this node forgot the program counts as used.
+    /// A claim from before this node evicted the program is treated as delivered.
     fn adopt(&mut self, row: Option<VersionedRow>, claimant: &str) -> Result<(), ReserveError> {
         let (version, ledger) = match row {
             Some(row) => (
--- a/crates/coordination/src/limits/bucket.rs
+++ b/crates/coordination/src/limits/bucket.rs
@@ -1,4 +1,4 @@
-//! Token bucket that accrues only over covered time.
+//! Token bucket that accrues tokens only while its holder may spend them.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 pub struct BucketLimits {
     /// Tokens accrued per second.
     pub rate_per_s: f64,
-    /// Most tokens held.
+    /// Maximum number of tokens held.
     pub burst: f64,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Bucket {
-    /// Creates a bucket that holds the whole burst of whatever limits it is first used with.
+    /// Creates a bucket that holds the full burst of the limits that it is first used with.
     #[must_use]
     pub fn filled(now: Duration) -> Self {
         Self { tokens: f64::MAX, updated_at: now }
@@ -47,8 +47,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the time until a token has accrued, or `None` when nothing may be spent because
-    /// `now` is not covered.
+    /// Returns the time until a token has accrued, or `None` when `now` is not before
+    /// `covered_until` or the limits never allow a token.
     pub fn take(
         &mut self,
         limits: BucketLimits,
@@ -70,13 +70,13 @@
         Err(Some(Duration::try_from_secs_f64(wait_s).unwrap_or(Duration::MAX)))
     }
 
-    /// Returns the tokens held.
+    /// Returns the number of tokens held.
     #[must_use]
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Adds what accrued up to `now`; time after `covered_until` adds nothing.
+    /// Adds the tokens accrued until `now`; time after `covered_until` adds none.
     fn accrue(&mut self, limits: BucketLimits, now: Duration, covered_until: Duration) {
         let until = now.min(covered_until);
         if let Some(elapsed) = until.checked_sub(self.updated_at) {
--- a/crates/coordination/src/limits/escrow.rs
+++ b/crates/coordination/src/limits/escrow.rs
@@ -1,4 +1,5 @@
-//! A node's shares of team limits: creation and spending, and in [`moves`] their way between nodes.
+//! Shares of team limits held by a node: creation, spending and, in [`moves`], transfer to other
+//! nodes.
 
 mod moves;
 
@@ -27,15 +28,15 @@
 };
 use crate::refusal::{Refusal, RefusalKind};
 
-/// Rows created in one transaction.
+/// Maximum number of rows created in one transaction.
 const CREATE_BATCH: usize = 64;
-/// Times that a request asks the holders.
+/// Maximum number of rounds in which a request asks the holders for a token.
 const ACQUIRE_ROUNDS_MAX: usize = 8;
 
-/// Bounds of the limiter.
+/// Settings of the limiter.
 #[derive(Debug, Clone)]
 pub struct LimitSettings {
-    /// Longest wait of a request for a token that is about to accrue.
+    /// Maximum time for which a request waits for a token to accrue.
     pub token_wait: Duration,
 }
 
@@ -51,7 +52,7 @@
     row: LimitRow,
 }
 
-/// Limits as seen and held by one node.
+/// One node's view of the team limits, with the shares that it holds.
 pub struct Escrow {
     table: Rc<dyn TableService>,
     clock: Rc<dyn Clock>,
@@ -66,7 +67,7 @@
 }
 
 impl Escrow {
-    /// Creates a node's view of the limits; it holds nothing yet.
+    /// Creates a view of the limits without any shares.
     #[must_use]
     pub fn new(
         table: Rc<dyn TableService>,
@@ -90,17 +91,19 @@
         }
     }
 
-    /// Returns the number of teams whose split is known here.
+    /// Returns the number of teams whose split is known to this node.
     #[must_use]
     pub fn known_teams(&self) -> usize {
         self.rows.borrow().len()
     }
 
-    /// Takes one token of `team`, here or from another holder, waiting for a short accrual.
+    /// Takes one token of `team` from this node's share or another holder's, and waits for a token
+    /// that accrues within [`LimitSettings::token_wait`].
     ///
     /// # Errors
     ///
-    /// Refuses when the team is over its rate and burst, with the time of the next token.
+    /// Refuses the request with the time until the next token when the team exceeds its rate and
+    /// burst, or when no holder of the limit can be reached.
     pub async fn acquire(
         &self,
         team: &TeamId,
@@ -127,8 +130,8 @@
 
     /// Takes one token from this node's own share, for itself or for another node.
     ///
-    /// `row_version` is the version of the split that the asking node knows; a node that knows an
-    /// older one reads the split again first.
+    /// `row_version` is the version of the split known to the requesting node. If this node knows
+    /// only an older one, it reloads the split first.
     pub async fn take_own(
         &self,
         team: &TeamId,
@@ -145,10 +148,12 @@
         self.spend(team, limit)
     }
 
-    /// Reads the splits of all teams, creates those that are this node's task, and gives shares
-    /// that became too small to spend to other holders; returns whether every split is known.
+    /// Loads the splits of all teams, creates those that this node is responsible for, and
+    /// transfers its surplus shares to other holders; returns whether every split is known and no
+    /// surplus share is left.
     ///
-    /// Doing so before a team's first request lets a later outage of the table change nothing.
+    /// Preparing the splits before a team's first request makes limits independent of later
+    /// outages of the table.
     ///
     /// # Errors
     ///
@@ -177,7 +182,7 @@
         Ok(self.missing_teams(config).next().is_none() && self.surplus_shares(config).is_empty())
     }
 
-    /// Returns the teams whose split is not known here.
+    /// Returns the limited teams whose split is not known to this node.
     fn missing_teams<'a>(
         &'a self,
         config: &'a ConfigSnapshot,
@@ -187,7 +192,7 @@
         limited.filter(|(team, _)| !self.rows.borrow().contains_key(*team))
     }
 
-    /// Reads a team's split again if it is older than `row_version`.
+    /// Reloads a team's split if the known version is older than `row_version`.
     ///
     /// # Errors
     ///
@@ -203,7 +208,7 @@
         Ok(())
     }
 
-    /// Asks this node and then the other holders, each at most once.
+    /// Tries this node's share and then the other holders, each at most once.
     async fn ask_holders(&self, team: &TeamId, limit: &Limit, members: &[Member]) -> TakeReply {
         let mut best = self.take_own(team, 0, limit, members).await;
         let row_version = self.rows.borrow().get(team).map_or(0, |known| known.version);
@@ -244,9 +249,9 @@
         }
     }
 
-    /// Returns the peer addresses of the other holders in a random order.
+    /// Returns the peer addresses of the other holders in random order.
     ///
-    /// Without a known row it names the members that the row would be created with.
+    /// If the row is not known, returns the address of the member that should create it.
     fn other_holders(&self, team: &str, members: &[Member]) -> Vec<String> {
         let own_id = self.incarnation.id();
         let rows = self.rows.borrow();
@@ -268,8 +273,8 @@
         Some(rows.get(team)?.row.share(self.incarnation.id())?.parts)
     }
 
-    /// Reads the row of a team, creates it where that is this node's task, and takes over shares
-    /// of members that have left.
+    /// Loads the row of a team, creates it if this node is responsible for it, and transfers the
+    /// share of a member that has left to this node if it is the preferred holder.
     async fn load(&self, team: &TeamId, limit: &Limit, members: &[Member]) -> PlatformResult<()> {
         let Some(row) = self.table.get(Table::Limits, team).await? else {
             return match self.first_split(team, limit, members) {
@@ -279,8 +284,8 @@
         };
         let (_, known) = parse_row(row)?;
         let left = known.row.shares.iter().find(|share| {
-            // Only a planned stop, which hands its shares over first, or the cleaning of a long
-            // fenced member removes a member's row.
+            // A member's row is removed only by a planned stop, which transfers its shares first,
+            // or by the cleanup of a member that has been fenced for a long time.
             !members.iter().any(|member| member.id == share.holder)
         });
         let left = left.map(|share| share.holder.clone());
@@ -294,7 +299,8 @@
         }
     }
 
-    /// Takes a row over; a share starts full only if it never moved and was not held before.
+    /// Replaces the known row by a newer one. The bucket of a new share starts full only if the
+    /// share was never transferred and no row of the team was known before.
     fn adopt(&self, team: TeamId, known: KnownRow) {
         let mut rows = self.rows.borrow_mut();
         let first_seen = !rows.contains_key(&team);
@@ -315,7 +321,7 @@
         rows.insert(team, known);
     }
 
-    /// Returns the first split of a team if this node is its preferred first holder.
+    /// Returns the initial split of a team if this node is its most preferred holder.
     fn first_split(&self, team: &str, limit: &Limit, members: &[Member]) -> Option<LimitRow> {
         let mut holders = preferred_holders(members, team);
         if holders.first().map(String::as_str) != Some(self.incarnation.id()) {
@@ -325,7 +331,7 @@
         Some(LimitRow::split(&holders))
     }
 
-    /// Creates rows together; after a conflict each is read at its first use instead.
+    /// Creates rows in one transaction; after a conflict, each row is loaded at its first use.
     async fn create_all(&self, batch: &[(TeamId, LimitRow)]) -> PlatformResult<()> {
         let mut transaction = Transaction::default().require(
             Table::Nodes,
@@ -346,7 +352,7 @@
         Ok(())
     }
 
-    /// Writes a row at its expected version; returns whether it took effect.
+    /// Writes a row if it has the expected version; returns whether the write took effect.
     async fn write(&self, team: &TeamId, expected: u64, row: LimitRow) -> PlatformResult<bool> {
         let transaction = Transaction::default()
             .require(Table::Nodes, self.incarnation.id(), self.incarnation.row_version())
@@ -358,7 +364,7 @@
             return Ok(true);
         }
         if let Some(row) = self.table.get(Table::Limits, team).await? {
-            // Another holder wrote first; the next call starts from its row.
+            // Another node wrote first; the next call is based on its row.
             let (team, known) = parse_row(row)?;
             self.adopt(team, known);
         }
@@ -366,7 +372,7 @@
     }
 }
 
-/// Returns the reply that promises a token sooner.
+/// Returns the reply with the earlier token.
 fn sooner(known: TakeReply, other: TakeReply) -> TakeReply {
     match (&known, &other) {
         (TakeReply::Empty { wait_ms: first }, TakeReply::Empty { wait_ms: second }) => {
--- a/crates/coordination/src/limits/escrow/moves.rs
+++ b/crates/coordination/src/limits/escrow/moves.rs
@@ -1,4 +1,5 @@
-//! Shares that move between holders: surplus ones, those of lost members, and at a planned stop.
+//! Transfer of shares between holders: surplus shares, shares of lost members, and all shares of a
+//! node at a planned stop.
 
 use std::time::Duration;
 
@@ -12,14 +13,14 @@
 use crate::platform::{PlatformResult, Table, scan_all};
 
 impl Escrow {
-    /// Gives this node's surplus shares to other holders, after a burst was lowered.
+    /// Transfers this node's surplus shares to other holders after a burst was lowered.
     pub(super) async fn merge_shares(
         &self,
         config: &ConfigSnapshot,
         members: &[Member],
     ) -> PlatformResult<()> {
         for (team, known, recipient) in self.surplus_shares(config) {
-            // Nothing is spent from here on, before the recipient may spend the share.
+            // This node must stop spending before the recipient may spend the share.
             self.buckets.borrow_mut().remove(&team);
             self.transfer(&team, known, self.incarnation.id(), &recipient).await?;
             self.notify_recipient(&recipient, &team, members).await;
@@ -27,7 +28,8 @@
         Ok(())
     }
 
-    /// Tells `recipient` that it was given a share; a loss is made up for by the next request to it.
+    /// Notifies `recipient` of a transferred share. If the message is lost, the next token request
+    /// to it has the same effect.
     async fn notify_recipient(&self, recipient: &str, team: &TeamId, members: &[Member]) {
         let version = self.rows.borrow().get(team).map_or(0, |known| known.version);
         if let Some(member) = members.iter().find(|member| member.id == recipient)
@@ -37,7 +39,7 @@
         }
     }
 
-    /// Returns this node's shares that are too small to keep, each with its recipient.
+    /// Returns this node's shares beyond the current holder count, each with its recipient.
     pub(super) fn surplus_shares(
         &self,
         config: &ConfigSnapshot,
@@ -52,7 +54,7 @@
         surplus.collect()
     }
 
-    /// Takes over the shares of members that can spend nothing any more.
+    /// Transfers the shares of lost members to this node once they can no longer be spent.
     ///
     /// # Errors
     ///
@@ -70,7 +72,7 @@
             let (team, known) = parse_row(row)?;
             let mut lost = due.iter().filter(|holder| known.row.share(holder).is_some());
             let Some(holder) = lost.next() else { continue };
-            // One transfer a row; what is left is found by the next call.
+            // Only one share per row is transferred; the next call finds the rest.
             complete &= lost.next().is_none();
             info!("event=limit_reclaimed team={team} from={holder}");
             complete &= self.transfer(&team, known.clone(), holder, own_id).await?;
@@ -81,13 +83,13 @@
         Ok(())
     }
 
-    /// Returns fenced members that are gone for longer than `age`.
+    /// Returns fenced members that have been lost for at least `age`.
     #[must_use]
     pub fn lost_for(&self, age: Duration, members: &[Member]) -> Vec<IncarnationId> {
         self.lost_members.lost_for(age, members, self.clock.monotonic())
     }
 
-    /// Hands all shares over before a planned stop; nothing is spent from here on.
+    /// Transfers all shares to other nodes before a planned stop; this node spends no more tokens.
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/limits/mod.rs
+++ b/crates/coordination/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Team limits over all nodes together: escrowed shares of a token bucket.
+//! Team limits shared by all nodes, based on escrowed shares or on usage reports.
 
 pub mod bucket;
 pub mod escrow;
--- a/crates/coordination/src/limits/reclaim.rs
+++ b/crates/coordination/src/limits/reclaim.rs
@@ -1,4 +1,4 @@
-//! When the limit shares of a lost member may be taken.
+//! Decision when the limit shares of a lost member may be reclaimed.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -8,10 +8,10 @@
 use crate::ids::IncarnationId;
 use crate::members::{Member, MemberState};
 
-/// Allowance for clocks that run at different speeds.
+/// Allowance for clock drift between nodes.
 const DRIFT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Members that are fenced or removed, and since when this node knows.
+/// Members that are fenced or removed, with the time when this node noticed it.
 #[derive(Debug, Default)]
 pub(super) struct LostMembers {
     since: RefCell<HashMap<IncarnationId, Duration>>,
@@ -19,7 +19,7 @@
 }
 
 impl LostMembers {
-    /// Remembers since when members are fenced, and reclaimers fenced or removed.
+    /// Records the time at which members became fenced, and reclaimers fenced or removed.
     pub fn observe(&self, members: &[Member], now: Duration) {
         let mut since = self.since.borrow_mut();
         let named = members.iter().filter_map(|member| member.reclaimer.as_ref());
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the fenced members whose shares `own_id` is to take now.
+    /// Returns the fenced members whose shares `own_id` must reclaim now.
     pub fn due(
         &self,
         own_id: &str,
@@ -47,12 +47,12 @@
         due.map(|member| member.id.clone()).collect()
     }
 
-    /// Notes that no row names these members any more.
+    /// Records that no row contains shares of these members any more.
     pub fn mark_reclaimed(&self, members: Vec<IncarnationId>) {
         self.reclaimed.borrow_mut().extend(members);
     }
 
-    /// Returns fenced members that are gone for longer than `age`.
+    /// Returns fenced members that have been lost for at least `age`.
     pub fn lost_for(&self, age: Duration, members: &[Member], now: Duration) -> Vec<IncarnationId> {
         let since = self.since.borrow();
         let old = |id: &str| since.get(id).is_some_and(|since| now >= *since + age);
@@ -60,12 +60,13 @@
         fenced.filter(|member| old(&member.id)).map(|member| member.id.clone()).collect()
     }
 
-    /// Returns whether `own_id` is to take the shares of a fenced member now.
+    /// Returns whether `own_id` must reclaim the shares of a fenced member now.
     ///
-    /// A holder spends only while covered by its own read of the table that shows no fence, or by
-    /// its reclaimer's promise. While the reclaimer lives, it alone takes the shares, once its last
-    /// promise has run out. After that, one other member does, once both have been gone for longer
-    /// than a promise lasts.
+    /// A holder spends tokens only for a limited time after it read from the table that it is not
+    /// fenced, or after its reclaimer promised not to reclaim its shares. As long as the reclaimer
+    /// is live, only the reclaimer reclaims them, after its last promise has expired. If the
+    /// reclaimer is lost too, the live member with the lowest id does, after both have been lost
+    /// for longer than a promise lasts.
     fn is_reclaimable(
         &self,
         own_id: &str,
--- a/crates/coordination/src/limits/shares.rs
+++ b/crates/coordination/src/limits/shares.rs
@@ -1,4 +1,4 @@
-//! The recorded split of a team's limit over its holders.
+//! Stored split of a team's limit into shares of its holders.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -8,25 +8,25 @@
 use crate::ids::IncarnationId;
 use crate::members::{Member, MemberState};
 
-/// Parts that a whole limit is split into.
+/// Number of parts that make up a whole limit.
 pub const WHOLE_PARTS: u32 = 1024;
-/// Tokens of burst per holder; a smaller burst gets fewer holders.
+/// Minimum burst tokens per holder; a smaller burst is split over fewer holders.
 const BURST_PER_HOLDER: u32 = 16;
-/// Most holders of one team.
+/// Maximum number of holders of one limit.
 const HOLDERS_MAX: u32 = 4;
 
-/// Part of a limit that one node may spend.
+/// Share of a limit that one node may spend.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// Incarnation that may spend it.
+    /// Incarnation that may spend the share.
     pub holder: IncarnationId,
-    /// Parts out of [`WHOLE_PARTS`].
+    /// Size of the share in parts; a whole limit has [`WHOLE_PARTS`].
     pub parts: u32,
-    /// Whether the share was part of the first split and so starts full.
+    /// Whether the share comes from the initial split; only such a share starts full.
     pub original: bool,
 }
 
-/// Value of a limit row: shares never sum to more than [`WHOLE_PARTS`].
+/// Value of a limit row; the shares add up to at most [`WHOLE_PARTS`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRow {
     /// Shares of the holders.
@@ -53,20 +53,20 @@
         self.shares.iter().find(|share| share.holder == holder)
     }
 
-    /// Returns the parts of all shares.
+    /// Returns the sum of the parts of all shares.
     #[must_use]
     pub fn total_parts(&self) -> u32 {
         self.shares.iter().map(|share| share.parts).sum()
     }
 
-    /// Returns who takes over the share of `holder` when only the first `count` shares are kept.
+    /// Returns the recipient of the share of `holder` if only the first `count` shares are kept.
     #[must_use]
     pub fn surplus_recipient(&self, holder: &str, count: usize) -> Option<&IncarnationId> {
         let position = self.shares.iter().position(|share| share.holder == holder)?;
         (position >= count).then(|| &self.shares[position % count].holder)
     }
 
-    /// Moves the share of `from` to `to`, which starts with no tokens.
+    /// Transfers the share of `from` to `to`; no tokens are transferred with it.
     pub fn transfer(&mut self, from: &str, to: &str) {
         let moved: u32 =
             self.shares.iter().filter(|share| share.holder == from).map(|share| share.parts).sum();
@@ -79,7 +79,7 @@
     }
 }
 
-/// Returns the part of `limit` that `parts` stand for.
+/// Returns the rate and burst of a share of `limit` with the given `parts`.
 #[must_use]
 pub fn share_limits(limit: &Limit, parts: u32) -> BucketLimits {
     let fraction = f64::from(parts) / f64::from(WHOLE_PARTS);
@@ -89,13 +89,13 @@
     }
 }
 
-/// Returns how many nodes share a limit.
+/// Returns the number of nodes that share a limit.
 #[must_use]
 pub fn holder_count(limit: &Limit) -> usize {
     (limit.burst / BURST_PER_HOLDER).clamp(1, HOLDERS_MAX).next_power_of_two() as usize
 }
 
-/// Returns the live members that should hold a team's limit, best first.
+/// Returns the live members by preference as holders of a team's limit, best first.
 #[must_use]
 pub fn preferred_holders(members: &[Member], team: &str) -> Vec<IncarnationId> {
     let live = members.iter().filter(|member| member.state == MemberState::Live);
--- a/crates/coordination/src/limits/usage.rs
+++ b/crates/coordination/src/limits/usage.rs
@@ -1,14 +1,17 @@
-//! Team limits over all nodes from what each node reports to have admitted.
+//! Team limits shared by all nodes, enforced from periodic usage reports.
 //!
-//! Every node simulates the team's whole token bucket: its own admissions count at once, those of
-//! other nodes when they report, and in between they are extrapolated at their last rates. Debt
-//! that shows later is paid before anything else is admitted, so no window exceeds the limit by
-//! more than what was under way between two reports. Nodes that are not heard of keep their equal
-//! part of the limit in reserve, because they may be cut off and spend it.
+//! Every node simulates the team's whole token bucket. It deducts its own admissions immediately
+//! and those of other nodes when they report, and extrapolates the latter at their last known rate
+//! between reports. If a report shows that more was spent than assumed, the bucket goes negative
+//! and nothing is admitted until the debt is repaid. The limit is thus exceeded in any time window
+//! by at most what other nodes admit between two reports. Nodes that have stopped reporting may be
+//! partitioned and still admitting requests, so an equal share of the limit stays reserved for
+//! each of them.
 //!
-//! Under pressure programs that have begun go before new ones: finishing few beats starting many.
-//! The first turn of a program also takes the requests that a program needs on average from a
-//! second bucket, which refuses once the first one runs low.
+//! Near the limit, requests of started programs take precedence over new programs, because
+//! finishing a few programs is worth more than starting many. The first turn of a program also
+//! takes the average number of requests of a program from a second bucket. New programs are
+//! refused by that bucket once the first one runs low.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -19,38 +22,38 @@
 
 /// Hash of a team's name, as in reports.
 pub type TeamHash = u32;
-/// Address of a node, as other nodes see it.
+/// Address under which other nodes reach a node.
 pub type MemberId = String;
-/// What a process has admitted since its start, by team.
+/// Admissions of one process since its start, by team.
 pub type AdmittedCounts = HashMap<TeamHash, Admitted>;
 
-/// What a process has admitted of one team since its start.
+/// Admissions of one process for one team since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Admitted {
-    /// Requests.
+    /// Requests admitted.
     pub requests: u64,
-    /// Programs begun.
+    /// Programs started.
     pub programs: u64,
-    /// Tokens left in the team's bucket, from which a node that starts takes over.
+    /// Tokens left in the team's bucket; a starting node initializes its own bucket from it.
     pub tokens_left: i64,
-    /// Requests that new programs may still claim, for the same.
+    /// Tokens left in the bucket for new programs; used in the same way.
     pub program_tokens_left: i64,
 }
 
-/// Place of a request in its program.
+/// Position of a request in its program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// The first turn of a program.
     Begins,
     /// Any other request.
     Continues {
-        /// Time left until its deadline.
+        /// Time left until the deadline of the request.
         time_left: Duration,
     },
 }
 
 impl Step {
-    /// Returns the longest wait for a token: none for a program that has not begun.
+    /// Returns the longest wait for a token, which is zero for a new program.
     fn wait_max(self) -> Duration {
         match self {
             Self::Begins => Duration::ZERO,
@@ -59,34 +62,34 @@
     }
 }
 
-/// Shortest time between two reports to a node.
+/// Minimum interval between two reports to a node.
 pub const REPORT_INTERVAL_MIN: Duration = Duration::from_millis(100);
-/// Time that each member adds to the pause, so that reports of a large fleet stay affordable.
+/// Time that each member adds to the report interval, which bounds the traffic of a large fleet.
 const REPORT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(6);
-/// Reports that a node misses before it counts as cut off.
+/// Number of missed reports after which a node is considered unreachable.
 const MISSED_REPORTS_MAX: u32 = 7;
-/// Silence after which a node no longer counts as a member.
+/// Time without a report after which a node is removed from the members.
 pub const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Longest wait for a token, about the pause after which a caller would ask again.
+/// Longest wait for a token; a caller would typically retry after about this time.
 const WAIT_MAX: Duration = Duration::from_millis(750);
-/// Part of the time left to a request that it may wait for a token.
+/// A request may wait for a token for its remaining time divided by this.
 const WAIT_DIVISOR: u32 = 3;
-/// Weight of the newest interval in a node's rate.
+/// Weight of the latest interval in the moving average of a node's rate.
 const RATE_WEIGHT: f64 = 0.4;
-/// Requests that a program needs until enough programs were seen.
+/// Requests per program assumed until [`PROGRAMS_SEEN_MIN`] programs have started.
 const REQUESTS_PER_PROGRAM_DEFAULT: f64 = 12.0;
-/// Programs that must have been seen for their average to count.
+/// Number of started programs from which the measured average is used.
 const PROGRAMS_SEEN_MIN: u64 = 8;
-/// Time between two estimates of the average, which takes a look at all members and teams.
+/// Time for which the average is cached, because computing it visits all members and teams.
 const ESTIMATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Part of the burst below which new programs are counted against the second bucket.
+/// Fraction of the burst below which new programs also need tokens of the second bucket.
 const PRESSURE_THRESHOLD: f64 = 0.85;
-/// Part of the burst that new programs leave to those that have begun.
+/// Fraction of the burst that is reserved for started programs.
 const STARTED_PROGRAMS_RESERVE: f64 = 0.4;
-/// Part of the burst that a bucket holds before any other node was heard: what was spent before a
-/// restart of all nodes is unknown.
+/// Fraction of the burst that a bucket holds until another node reports. A full bucket could exceed
+/// the limit, because spending before a restart of all nodes is unknown.
 const INITIAL_FILL: f64 = 0.5;
-/// Time over which a program spreads its requests, about a program's length.
+/// Approximate duration of a program, over which its requests are spread.
 const PROGRAM_DURATION: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
@@ -99,33 +102,34 @@
 
 #[derive(Debug, Default)]
 struct TeamBucket {
-    /// Tokens left; below 0 while debt is paid off.
+    /// Tokens left; negative until debt is repaid.
     tokens: f64,
-    /// Requests that new programs may still claim.
+    /// Requests that new programs may still reserve.
     program_tokens: f64,
     updated_at: Duration,
     own_admitted: Admitted,
 }
 
-/// Buckets of all teams and the members that share them.
+/// Token buckets of all teams, and the members that share them.
 #[derive(Debug, Default)]
 pub struct UsageLimiter {
     members: HashMap<MemberId, Member>,
     teams: HashMap<TeamHash, TeamBucket>,
-    /// Whether the buckets were taken over from another node.
+    /// Whether the buckets were initialized from the report of another node.
     is_seeded: bool,
-    /// Requests that a program needs on average, and the time of the estimate.
+    /// Cached average number of requests per program, and the time of the estimate.
     requests_per_program: Option<(f64, Duration)>,
 }
 
-/// Returns the time between two reports of a node in a fleet with `members` other nodes.
+/// Returns the report interval of a node in a fleet with `members` other nodes.
 #[must_use]
 pub fn report_interval(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
     REPORT_INTERVAL_PER_MEMBER.saturating_mul(members).max(REPORT_INTERVAL_MIN)
 }
 
-/// Returns the silence after which a node counts as cut off, in a fleet with `members` others.
+/// Returns the time without a report after which a node is considered unreachable, in a fleet
+/// with `members` other nodes.
 #[must_use]
 pub fn silence_timeout(members: usize) -> Duration {
     report_interval(members).saturating_mul(MISSED_REPORTS_MAX)
@@ -139,8 +143,10 @@
 }
 
 impl UsageLimiter {
-    /// Takes one request from the limit of `team` and returns the time after which it may be
-    /// sent; a request that continues a program may wait a part of its time for its token.
+    /// Takes a token for one request of `team` and returns the delay before it may be sent.
+    ///
+    /// The delay is zero unless the request continues a program. Such a request may wait for a
+    /// fraction of its remaining time until its token accrues.
     ///
     /// # Errors
     ///
@@ -178,7 +184,7 @@
         Ok(wait)
     }
 
-    /// Gives back a request that was admitted but never sent.
+    /// Refunds the token of a request that was admitted but never sent.
     pub fn refund(&mut self, team: TeamHash) {
         if let Some(bucket) = self.teams.get_mut(&team) {
             bucket.tokens += 1.0;
@@ -186,14 +192,14 @@
         }
     }
 
-    /// Returns what this node has admitted since its start.
+    /// Returns the admissions of this node since its start.
     #[must_use]
     pub fn own_admitted(&self) -> AdmittedCounts {
         let served = self.teams.iter().filter(|(_, bucket)| bucket.own_admitted.requests > 0);
         served.map(|(team, bucket)| (*team, bucket.report())).collect()
     }
 
-    /// Takes the tokens of all teams over from the first report after the start.
+    /// Initializes the buckets of all teams from the first report received after the start.
     fn seed_from_report(&mut self, admitted: &AdmittedCounts, now: Duration) {
         self.is_seeded = true;
         for (team, count) in admitted {
@@ -228,11 +234,11 @@
             known.admitted.clear();
         }
         let requests_per_program = self.requests_per_program(now);
-        // Reports that were held up arrive together; their spacing says nothing of the rate.
+        // Delayed reports arrive together, so a shorter interval would overestimate the rate.
         let elapsed_s = now.saturating_sub(known.heard_at).max(REPORT_INTERVAL_MIN).as_secs_f64();
         for (team, count) in &admitted {
             let before = known.admitted.get(team).copied().unwrap_or_default();
-            // A refund may lower a count; the difference is given back.
+            // A refund may lower a count; a negative difference returns tokens to the bucket.
             let delta = signed_difference(count.requests, before.requests);
             let started = signed_difference(count.programs, before.programs);
             match self.teams.get_mut(team) {
@@ -241,7 +247,7 @@
                     bucket.program_tokens -= started * requests_per_program;
                 }
                 Some(_) => {}
-                // A team that this node has not served yet; what others spent counts from now on.
+                // This node has not served the team yet; usage by others is deducted from now on.
                 None => drop(self.teams.insert(*team, TeamBucket::from_report(count, now))),
             }
             let rate = known.rates_per_s.entry(*team).or_default();
@@ -253,7 +259,7 @@
         self.members.insert(member.to_owned(), known);
     }
 
-    /// Records a node that is listed but was not heard yet.
+    /// Records a node that is listed but has not reported yet.
     pub fn note_listed(&mut self, member: &str) {
         self.members.entry(member.to_owned()).or_insert_with(|| Member {
             incarnation: 0,
@@ -263,12 +269,12 @@
         });
     }
 
-    /// Forgets a node that left as planned.
+    /// Removes a node that shut down gracefully.
     pub fn forget(&mut self, member: &str) {
         self.members.remove(member);
     }
 
-    /// Forgets nodes silent for [`FORGET_AFTER`] and returns them.
+    /// Removes and returns nodes that have not reported for [`FORGET_AFTER`].
     pub fn forget_silent(&mut self, now: Duration) -> Vec<MemberId> {
         let silent: Vec<MemberId> = self
             .members
@@ -282,7 +288,7 @@
         silent
     }
 
-    /// Returns the part of each limit that the nodes in contact with this one may spend.
+    /// Returns the fraction of each limit that this node and the nodes reporting to it may spend.
     #[must_use]
     pub fn covered_share(&self, now: Duration) -> f64 {
         let silence_timeout = silence_timeout(self.members.len());
@@ -293,14 +299,16 @@
         share
     }
 
-    /// Returns the other nodes and whether each was heard lately.
+    /// Returns the other nodes and whether each has reported within the silence timeout.
     pub fn members(&self, now: Duration) -> impl Iterator<Item = (&MemberId, bool)> {
         let silence_timeout = silence_timeout(self.members.len());
         self.members.iter().map(move |(id, member)| (id, member.is_heard(now, silence_timeout)))
     }
 
-    /// Returns the requests that a program needs on average, over all teams: programs of a team
-    /// under pressure are cut short.
+    /// Returns the average number of requests per program over all teams.
+    ///
+    /// An average per team would be too low for teams near their limit, whose programs are cut
+    /// short.
     fn requests_per_program(&mut self, now: Duration) -> f64 {
         match self.requests_per_program {
             Some((estimate, at)) if now < at + ESTIMATE_INTERVAL => estimate,
@@ -324,7 +332,7 @@
         signed_difference(requests, 0) / signed_difference(programs, 0)
     }
 
-    /// Returns what other nodes have probably admitted since their last reports.
+    /// Returns an estimate of the requests that other nodes admitted since their last reports.
     fn estimated_unreported(&self, team: TeamHash, now: Duration) -> f64 {
         let silence_timeout = silence_timeout(self.members.len());
         self.members
@@ -345,13 +353,13 @@
 }
 
 impl TeamBucket {
-    /// Returns the bucket of a team unknown so far; it accrues from the start of the clock.
+    /// Returns the bucket of a new team; it accrues from time zero of the clock.
     fn initial(limits: BucketLimits) -> Self {
         let tokens = limits.burst * INITIAL_FILL;
         Self { tokens, program_tokens: tokens, ..Self::default() }
     }
 
-    /// Returns the bucket of a team as another node sees it.
+    /// Returns the bucket of a team as reported by another node.
     fn from_report(count: &Admitted, now: Duration) -> Self {
         #[expect(clippy::cast_precision_loss, reason = "bursts are small")]
         let (tokens, program_tokens) = (count.tokens_left as f64, count.program_tokens_left as f64);
@@ -372,7 +380,8 @@
         let program_burst = burst + limits.rate_per_s * covered * PROGRAM_DURATION.as_secs_f64();
         self.tokens = (self.tokens + accrued).min(burst.max(1.0));
         self.program_tokens = (self.program_tokens + accrued).min(program_burst);
-        // Debt beyond one program length would hold new programs back for longer than it lasts.
+        // Debt beyond one program duration would delay new programs for longer than the overload
+        // lasts.
         self.program_tokens = self.program_tokens.max(-program_burst);
         self.updated_at = now;
     }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,8 +1,9 @@
 //! Choice of a backend server for a request.
 //!
-//! Equal keys map to equal backend servers on every node without messages between them: each
-//! node ranks the servers of a service by rendezvous hashing. A lower rank costs what reading the
-//! prompt again costs; load and failures seen by this node add to it.
+//! Every node ranks the servers of a service by rendezvous hashing, so that equal keys map to the
+//! same server on all nodes without coordination. Each candidate has a cost: its load, a penalty
+//! for recent failures, and for servers other than the first in rank the cost of prefilling the
+//! prompt again. The cheapest candidate is chosen.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,78 +14,80 @@
 use crate::limits::usage::MemberId;
 use crate::servers::ServerEntry;
 
-/// Which property of a backend server decides.
+/// Criterion for choosing among healthy backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementPolicy {
-    /// Equal keys go to equal servers, or to the next in rank while those are loaded.
+    /// Sends equal keys to the same server, or to the next in rank while that one is loaded.
     Affinity,
-    /// The same with all servers as alternatives; the baseline.
+    /// Like [`Self::Affinity`] with all servers as alternatives; a baseline for comparison.
     AffinityAnywhere,
-    /// The less loaded of two servers drawn by the key. Loads that other nodes reported some time
-    /// ago would send all of them to the same least loaded server.
+    /// Chooses the less loaded of two servers selected by the key. Choosing the least loaded of all
+    /// would cause herding: nodes that see the same stale loads would all pick the same server.
     TwoChoices,
-    /// The least loaded server; the baseline.
+    /// Chooses the least loaded server; a baseline for comparison.
     LeastLoaded,
 }
 
-/// What a request asks of its backend server.
+/// Requirements of a request on its backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// What decides among sound servers.
+    /// Criterion for choosing among healthy servers.
     pub policy: PlacementPolicy,
-    /// Key of the placement; requests with equal keys share prompts.
+    /// Placement key; requests with equal keys share parts of their prompts.
     pub key: &'a str,
-    /// Whether the request may run again after a failure, so that it may try out a server that
-    /// failed lately.
+    /// Whether the request may run again after a failure and so may probe a server that failed
+    /// recently.
     pub may_repeat: bool,
     /// Servers that must not be chosen.
     pub excluded: &'a [BackendId],
 }
 
-/// Nodes that must distrust a server for this node to avoid it too: a single one may have lost
-/// its own way there.
+/// Number of other nodes that must avoid a server before this node avoids it too. A single node may
+/// only have lost its own network path to the server.
 const AVOID_QUORUM: u32 = 2;
-/// Servers that are compared. With more, all lines that leave loaded servers would meet on the
-/// one that was the least loaded when the other nodes last reported, and have their prompts read
-/// again there.
+/// Number of servers whose costs are compared. With more, all sessions that leave loaded servers
+/// would move to the one that was least loaded in the last reports, and have their prompts
+/// prefilled again there.
 const COMPARED_SERVERS: usize = 2;
 
-/// Cost of another server than the first in rank, in fractions of a server's slots.
+/// Cost of prefilling the prompt on a server other than the first in rank, in fractions of a
+/// server's slots.
 const PREFILL_COST: f64 = 0.4;
-/// Further cost of each rank, which makes moved lines meet on one server.
+/// Additional cost per rank, which makes moved sessions with equal keys prefer the same server.
 const RANK_COST: f64 = 0.02;
-/// Ranks beyond this one are equal.
+/// Rank beyond which the cost no longer increases.
 const RANKED_MAX: usize = 8;
-/// Cost of a server that failed lately; above any load.
+/// Cost of a server that is being avoided after failures; exceeds any load.
 const FAILED_COST: f64 = 100.0;
-/// Time for which a server is avoided after its first failure; doubles with each further one.
+/// Time for which a server is avoided after its first failure; doubles with each consecutive one.
 const AVOID_MIN: Duration = Duration::from_millis(500);
-/// Longest time for which a server is avoided; failures are rediscovered by one request each.
+/// Maximum time for which a server is avoided. If the failure persists, each expiry costs one
+/// failed request.
 const AVOID_MAX: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Default)]
 struct ServerView {
-    /// Requests that this node has under way there.
+    /// Requests of this node in flight at the server.
     own_in_flight: u32,
     failures_in_row: u32,
     avoid_until: Duration,
 }
 
-/// What this node knows of each backend server's load and failures.
+/// Load and failures of each backend server as known to this node.
 #[derive(Debug, Default)]
 pub struct Placement {
     views: HashMap<BackendId, ServerView>,
-    /// Requests that each other node last said to have under way.
+    /// Requests in flight from each other node, by its last report.
     peer_loads: HashMap<MemberId, Vec<(ServerHash, u32)>>,
-    /// Sum of `peer_loads`, kept up with each report.
+    /// Sum of `peer_loads` by server, updated with each report.
     peer_in_flight: HashMap<ServerHash, u32>,
-    /// Servers that each other node last said to avoid.
+    /// Servers that each other node avoids, by its last report.
     peer_avoided: HashMap<MemberId, Vec<ServerHash>>,
-    /// Number of nodes that avoid a server, kept up with each report.
+    /// Number of other nodes that avoid a server, updated with each report.
     avoiding_peers: HashMap<ServerHash, u32>,
 }
 
-/// Hash of a backend server's identifier, as in reports between nodes.
+/// Hash of a backend server's identifier, used in reports between nodes.
 pub type ServerHash = u32;
 
 impl Placement {
@@ -114,7 +117,7 @@
             !self.is_avoided(server, now) && (may_repeat || !self.is_on_probation(server))
         };
         let healthy = candidates.iter().filter(|(_, server)| is_healthy(server)).take(compared_max);
-        // Servers that failed lately serve only when there is no other.
+        // Servers that failed recently come last; while avoided, they also cost more than any load.
         healthy
             .chain(candidates.iter().filter(|(_, server)| !is_healthy(server)))
             .map(|(rank, server)| (self.cost(policy, *rank, server, now), *server))
@@ -167,14 +170,14 @@
         view.own_in_flight = view.own_in_flight.saturating_sub(1);
     }
 
-    /// Records a whole, sound answer of `server`.
+    /// Records a complete and valid answer of `server`.
     pub fn note_success(&mut self, server: &str) {
         let view = self.view(server);
         view.failures_in_row = 0;
         view.avoid_until = Duration::ZERO;
     }
 
-    /// Records that `server` broke off, garbled or did not answer; returns the time for which it
+    /// Records a missing, incomplete or malformed answer of `server`; returns the time for which it
     /// is avoided.
     pub fn note_failure(&mut self, server: &str, now: Duration) -> Duration {
         let view = self.view(server);
@@ -185,21 +188,22 @@
         pause
     }
 
-    /// Returns the requests that this node has under way, by hash of the backend server's id.
+    /// Returns this node's requests in flight, by hash of the backend server's id.
     #[must_use]
     pub fn own_load(&self) -> Vec<(ServerHash, u32)> {
         let views = self.views.iter().filter(|(_, view)| view.own_in_flight > 0);
         views.map(|(id, view)| (server_hash(id), view.own_in_flight)).collect()
     }
 
-    /// Returns the servers that this node avoids for what it saw itself.
+    /// Returns the servers that this node avoids because of failures that it observed itself.
     #[must_use]
     pub fn own_avoided(&self, now: Duration) -> Vec<ServerHash> {
         let avoided = self.views.iter().filter(|(_, view)| now < view.avoid_until);
         avoided.map(|(id, _)| server_hash(id)).collect()
     }
 
-    /// Replaces the servers that another node avoids; nothing when it is silent or gone.
+    /// Replaces the servers that another node avoids; `avoided` is empty for a node that is
+    /// unreachable or has left.
     pub fn set_peer_avoided(&mut self, member: &str, avoided: Vec<ServerHash>) {
         for server in &avoided {
             *self.avoiding_peers.entry(*server).or_default() += 1;
@@ -216,13 +220,14 @@
         }
     }
 
-    /// Forgets what another node said; for one that is silent or gone.
+    /// Discards the reports of another node that is unreachable or has left.
     pub fn forget_peer(&mut self, member: &str) {
         self.set_peer_load(member, Vec::new());
         self.set_peer_avoided(member, Vec::new());
     }
 
-    /// Replaces what another node has under way; nothing when it is silent or gone.
+    /// Replaces the requests in flight from another node; `load` is empty for a node that is
+    /// unreachable or has left.
     pub fn set_peer_load(&mut self, member: &str, load: Vec<(ServerHash, u32)>) {
         for (server, in_flight) in &load {
             *self.peer_in_flight.entry(*server).or_default() += in_flight;
@@ -239,7 +244,7 @@
         }
     }
 
-    /// Forgets a backend server that is gone.
+    /// Discards the state of a backend server that has left.
     pub fn forget(&mut self, server: &str) {
         self.views.remove(server);
     }
--- a/crates/coordination/src/refusal.rs
+++ b/crates/coordination/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Refusals: why a request got no answer, whether it ran, and what to do about it.
+//! Refusals: why a request was not answered, whether it ran, and how to proceed.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// The request was never handed to a backend server.
+    /// The request was never sent to a backend server.
     NotRun,
     /// The request may have been executed.
     Unknown,
@@ -15,15 +15,15 @@
     Ran,
 }
 
-/// Reason of a refusal; also the label of its counter.
+/// Reason for a refusal, also used as a metric label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
     /// The request is malformed.
     InvalidRequest,
-    /// The body is over the limit.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The head is over the limit.
+    /// The head exceeds the size limit.
     HeadTooLarge,
     /// No key was sent, or the key is unknown.
     KeyUnknown,
@@ -39,13 +39,13 @@
     ProgramClosed,
     /// Another call already holds the sequence.
     SequenceTaken,
-    /// The predecessor did not arrive in time.
+    /// The preceding call of the program did not arrive in time.
     SequenceAhead,
     /// The idempotency key was used for another request.
     IdempotencyMismatch,
     /// The program's token budget does not cover the call.
     BudgetExhausted,
-    /// The team is over its rate and burst.
+    /// The team exceeds its rate and burst.
     RateLimited,
     /// No holder of the team's limit can be reached.
     LimitUnavailable,
@@ -61,17 +61,17 @@
     OwnerUnreachable,
     /// The outcome of an earlier attempt is unknown and it must not be repeated.
     OutcomeUnknown,
-    /// A time bound passed.
+    /// A deadline or timeout of the request passed.
     DeadlineExceeded,
     /// The caller or an operator cancelled the call.
     Cancelled,
     /// The node has no configuration yet.
     NotReady,
-    /// The node cannot prove that its configuration is the newest.
+    /// The node cannot confirm that its configuration is current.
     ConfigStale,
 }
 
-/// Row of the refusal table: label, HTTP status and default pause before a retry.
+/// Row of the refusal table: label, HTTP status and default retry delay in milliseconds.
 struct RefusalRow(RefusalKind, &'static str, u16, Option<u64>);
 
 const REFUSALS: &[RefusalRow] = &[
@@ -131,11 +131,11 @@
 pub struct Refusal {
     /// Reason.
     pub kind: RefusalKind,
-    /// Explanation that names the remedy.
+    /// Explanation for the caller, including a remedy.
     pub message: String,
     /// Whether the request took effect.
     pub run: RunState,
-    /// Pause before a retry may succeed.
+    /// Delay after which a retry may succeed.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -152,7 +152,7 @@
         Self { run: RunState::Unknown, ..Self::not_run(kind, message) }
     }
 
-    /// Creates the refusal of a call whose earlier attempt has an unknown outcome.
+    /// Creates a refusal of a call whose earlier attempt has an unknown outcome.
     #[must_use]
     pub fn outcome_unknown() -> Self {
         Self::unknown(
@@ -162,7 +162,7 @@
         )
     }
 
-    /// Creates the refusal of a call for a shard that this node does not own.
+    /// Creates a refusal of a call for a shard that this node does not own.
     #[must_use]
     pub fn not_owner() -> Self {
         Self::not_run(
@@ -171,7 +171,7 @@
         )
     }
 
-    /// Creates the refusal for a program that does not exist or belongs to another team.
+    /// Creates a refusal for a program that does not exist or belongs to another team.
     #[must_use]
     pub fn program_unknown() -> Self {
         Self::not_run(
@@ -180,7 +180,7 @@
         )
     }
 
-    /// Sets the pause before a retry.
+    /// Sets the retry delay.
     #[must_use]
     pub fn retry_after_ms(mut self, pause_ms: u64) -> Self {
         self.retry_after_ms = Some(pause_ms);
--- a/crates/coordination/src/request.rs
+++ b/crates/coordination/src/request.rs
@@ -1,8 +1,8 @@
-//! What a caller's request says of itself.
+//! Scheduling information in a caller's request.
 
 use std::time::Duration;
 
-/// Identifier of one attempt of a caller.
+/// Identifier of one attempt by a caller.
 pub type RequestId = String;
 
 /// A part of a prompt that requests may share.
@@ -19,33 +19,33 @@
 pub struct ProgramContext {
     /// Identifier of the program.
     pub id: String,
-    /// One value for each line of turns.
+    /// Identifier of the session, a sequence of turns within the program.
     pub session: String,
-    /// Time until the whole program should be finished.
+    /// Time left until the whole program should be finished.
     pub time_left: Option<Duration>,
-    /// Tokens that all turns of the program together may generate.
+    /// Maximum number of tokens that all turns of the program together may generate.
     pub budget_tokens: Option<u64>,
 }
 
-/// Decoded headers of a request.
+/// Decoded headers of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestContext {
     /// Identifier of the attempt.
     pub id: RequestId,
-    /// Time that the caller waits, from the arrival of the request.
+    /// Time that the caller waits, counted from the arrival of the request.
     pub deadline: Option<Duration>,
-    /// Object that the request concerns.
+    /// Object that the request refers to, used as an affinity key.
     pub affinity: Option<String>,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u64,
-    /// Most tokens that may be generated.
+    /// Maximum number of tokens that may be generated.
     pub output_tokens_max: u64,
-    /// Request id of the kept turn that this one continues from.
+    /// Request id of the stored turn that this request continues from.
     pub previous_turn: Option<RequestId>,
-    /// Last event that the caller already has.
+    /// Id of the last event that the caller has received.
     pub resume_after: Option<u64>,
-    /// Program of the request.
+    /// Program that the request belongs to.
     pub program: Option<ProgramContext>,
 }
--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -10,7 +10,7 @@
 /// Name of a service: a group of equal backend servers.
 pub type ServiceId = String;
 
-/// What may be repeated.
+/// Policy for repeated runs of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatPolicy {
     /// May run any number of times.
@@ -19,7 +19,7 @@
     AtMostOnce,
     /// An event stream that may run at most once.
     Stream,
-    /// An event stream that a further run may continue.
+    /// An event stream that another run may resume.
     ResumableStream,
 }
 
@@ -37,16 +37,16 @@
     }
 }
 
-/// Share of a route's traffic that goes to a service.
+/// A service that gets a share of a route's traffic.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Target {
-    /// Service.
+    /// Service that gets the traffic.
     pub service: ServiceId,
     /// Weight relative to the other targets.
     pub weight: f64,
 }
 
-/// Requests of one host and path prefix.
+/// Rule for requests with a given host and path prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
     /// Name, for logs.
@@ -55,30 +55,30 @@
     pub host: String,
     /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Policy for repeated runs of a request.
     pub repeat: RepeatPolicy,
-    /// Longest time that a caller is kept waiting.
+    /// Maximum time for which a caller waits.
     pub timeout: Duration,
-    /// Objective up to the answer, or to a stream's first event.
+    /// Latency objective for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Services by weight.
+    /// Services with their weights.
     pub targets: Vec<Target>,
-    /// Most backend servers that may run one attempt.
+    /// Maximum number of backend servers that may run one request.
     pub attempts_max: u32,
-    /// Whether turns are kept, so that a turn carries only its new input.
+    /// Whether turns are stored, so that a request carries only the new input of its turn.
     pub keeps_turns: bool,
-    /// Time for which a turn is kept.
+    /// Time for which a turn is stored.
     pub turn_retention: Duration,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub is_public: bool,
-    /// Whether a backend server works faster on an object that it handled lately.
+    /// Whether a backend server is faster for an object that it handled recently.
     pub is_sticky: bool,
 }
 
 impl Route {
-    /// Returns the service that serves the request `id`: equal ids get equal services.
+    /// Returns the service for the request `id`; equal ids always get the same service.
     #[must_use]
     pub fn service_for(&self, id: &str) -> Option<&ServiceId> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
@@ -94,14 +94,14 @@
     }
 }
 
-/// What the backend servers of a service run, if they are model engines.
+/// Properties of the model engines of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// Requests that one backend server runs at once.
+    /// Requests that one backend server runs concurrently.
     pub slots: u32,
     /// Tokens that fit into a backend server's cache.
     pub cache_tokens: u64,
-    /// Tokens generated for each event of a stream.
+    /// Tokens generated per event of a stream.
     pub tokens_per_event: u64,
 }
 
@@ -121,31 +121,31 @@
 pub struct Team {
     /// Name.
     pub name: TeamId,
-    /// Keys in force.
+    /// Valid keys.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's, if set.
+    /// Priority that overrides the route's, if set.
     pub priority: Option<u8>,
-    /// Requests a second over all nodes; 0 stands for no limit.
+    /// Requests per second over all nodes; 0 means no limit.
     pub rate_per_s: f64,
-    /// Requests beyond the rate that may come at once.
+    /// Number of requests that may exceed the rate at once.
     pub burst: f64,
 }
 
-/// What a caller's connection may send.
+/// Limits of a caller's connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request.
+    /// Maximum size of a request head.
     pub header_max_bytes: usize,
-    /// Largest body of a request.
+    /// Maximum size of a request body.
     pub body_max_bytes: usize,
-    /// Longest time from the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub header_timeout: Duration,
-    /// Longest time between two requests.
+    /// Maximum idle time between two requests.
     pub idle_timeout: Duration,
 }
 
 impl Default for CallerLimits {
-    /// Limits in force until a configuration is known.
+    /// Returns the limits that apply until a configuration is known.
     fn default() -> Self {
         Self {
             header_max_bytes: 16 * 1024,
@@ -156,7 +156,7 @@
     }
 }
 
-/// A whole configuration version, indexed for requests.
+/// A configuration version, indexed for routing requests.
 #[derive(Debug, Clone, Default)]
 pub struct RoutingTable {
     version: ConfigVersion,
@@ -171,7 +171,7 @@
 }
 
 impl RoutingTable {
-    /// Indexes a configuration; `teams` is absent when requests carry no keys.
+    /// Indexes a configuration; `teams` is `None` when requests carry no keys.
     #[must_use]
     pub fn new(
         version: ConfigVersion,
@@ -202,7 +202,7 @@
         self.version
     }
 
-    /// Returns the route with the longest prefix of `path` on `host`.
+    /// Returns the route on `host` with the longest matching prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or_default().to_ascii_lowercase();
@@ -213,7 +213,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Returns the service `name`.
+    /// Returns the service with the given `name`.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceSpec> {
         self.services.get(name)
@@ -231,7 +231,7 @@
         self.teams.as_ref()?.get(*self.by_key.get(key)?)
     }
 
-    /// Returns what callers' connections may send.
+    /// Returns the limits of callers' connections.
     #[must_use]
     pub fn limits(&self) -> &CallerLimits {
         &self.limits
--- a/crates/coordination/src/servers.rs
+++ b/crates/coordination/src/servers.rs
@@ -1,4 +1,4 @@
-//! What a node believes of the backend servers, from the platform's list.
+//! A node's view of the backend servers, based on the platform's list.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,22 +7,22 @@
 use crate::ids::{BackendId, ZoneId};
 use crate::routing::ServiceId;
 
-/// Time for which entries that lapsed while the store was away may come back after its return.
+/// Grace period after a store failure in which entries that expired during it may return.
 pub const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Whether a backend server takes new work.
+/// Whether a backend server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes new work.
+    /// Accepts new requests.
     Ready,
-    /// Leaves soon and gets no new work.
+    /// Is leaving and gets no new requests.
     Draining,
 }
 
 /// Entry of a backend server in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServerEntry {
-    /// Identifier of this start of the backend server.
+    /// Identifier of the backend server.
     pub id: BackendId,
     /// Service that it belongs to.
     pub service: ServiceId,
@@ -30,20 +30,20 @@
     pub address: SocketAddr,
     /// Availability zone.
     pub zone: ZoneId,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: ServerState,
-    /// Time of its start; another start under the same identifier differs here.
+    /// Time of its start, which distinguishes restarts under the same identifier.
     pub started_unix_ms: u64,
 }
 
-/// A change of belief, for logs and for dropping connections.
+/// A change of the list, used for logging and for closing connections.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ServerChange {
-    /// A backend server is new or came back.
+    /// A backend server is new, has changed or has returned.
     Seen(BackendId),
-    /// A backend server must get no new work.
+    /// A backend server must get no new requests.
     Draining(BackendId),
     /// A backend server left the list.
     Gone(BackendId),
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 struct KnownServer {
     entry: ServerEntry,
-    /// Set while the entry is missing although the store may have dropped it wrongly.
+    /// Time since which the entry is missing, if the store may have dropped it wrongly.
     lapsed_at: Option<Duration>,
 }
 
@@ -85,10 +85,10 @@
         }
     }
 
-    /// Records that an entry is missing or no longer names a backend server.
+    /// Records that an entry is missing or is no longer that of a backend server.
     ///
-    /// After a failure of the store the entry is kept for [`LAPSE_GRACE`], since the store drops
-    /// entries that could not be renewed.
+    /// After a store failure, a ready entry is kept until [`LAPSE_GRACE`] has passed, because the
+    /// store drops entries that could not be renewed during an outage.
     pub fn remove(&mut self, id: &str, now: Duration) -> Option<ServerChange> {
         let may_have_lapsed =
             self.store_failed_at.is_some_and(|failed_at| now < failed_at + LAPSE_GRACE);
@@ -101,7 +101,7 @@
         Some(ServerChange::Gone(id.to_owned()))
     }
 
-    /// Replaces the whole list by `entries`.
+    /// Replaces the whole list with `entries`.
     pub fn replace(&mut self, entries: Vec<ServerEntry>, now: Duration) -> Vec<ServerChange> {
         let missing: Vec<BackendId> = self
             .known
@@ -114,7 +114,7 @@
         changes
     }
 
-    /// Drops lapsed entries that did not come back in time.
+    /// Removes lapsed entries that did not return within the grace period.
     pub fn expire_lapsed(&mut self, now: Duration) -> Vec<ServerChange> {
         let failed_at = self.store_failed_at.unwrap_or_default();
         let expired: Vec<BackendId> = self
@@ -129,7 +129,7 @@
         expired.into_iter().map(ServerChange::Gone).collect()
     }
 
-    /// Returns the backend servers of `service` that take new work.
+    /// Returns the backend servers of `service` that accept new requests.
     pub fn ready<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a ServerEntry> {
         self.known
             .values()
@@ -137,7 +137,7 @@
             .filter(move |entry| entry.service == service && entry.state == ServerState::Ready)
     }
 
-    /// Returns the entry of a backend server that takes new work.
+    /// Returns the entry of a backend server if it accepts new requests.
     #[must_use]
     pub fn ready_by_id(&self, id: &str) -> Option<&ServerEntry> {
         let entry = &self.known.get(id)?.entry;
@@ -150,7 +150,7 @@
         self.known.len()
     }
 
-    /// Returns the number of backend servers that take no new work.
+    /// Returns the number of draining backend servers.
     #[must_use]
     pub fn draining_count(&self) -> usize {
         let draining = |known: &&KnownServer| known.entry.state == ServerState::Draining;
--- a/crates/coordination/src/turns.rs
+++ b/crates/coordination/src/turns.rs
@@ -1,7 +1,7 @@
-//! Turns kept for programs whose calls carry only their new input.
+//! Stored turns of programs whose calls carry only their new input.
 //!
-//! Each turn is one row, found by its request id alone. The row names the whole chain before it,
-//! so that a node that knows none of it reads all rows side by side.
+//! Each turn is one row with the request id as its key. The row lists the whole chain of earlier
+//! turns, so that a node without cached turns reads all of them in parallel.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -17,19 +17,19 @@
 use crate::request::RequestId;
 use crate::rows::{RowRead, RowStoreError, RowWrite, SharedRowStore, part_of};
 
-/// Table of the kept turns.
+/// Table of the stored turns.
 pub const TURNS_TABLE: &str = "turns";
-/// Parts of the table; one part carries 200 writes a second, and the store 800 in all.
+/// Partitions of the table; each supports 200 writes per second, and the whole store 800.
 const TURN_PARTS: u64 = 64;
 
-/// Bytes stored as text.
+/// Bytes stored as text if they are valid UTF-8, and in Base64 otherwise.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TextBytes(pub Vec<u8>);
 
 impl Serialize for TextBytes {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match std::str::from_utf8(&self.0) {
-            // The mark tells text from encoded bytes.
+            // The prefix distinguishes text (`t`) from Base64 (`b`).
             Ok(text) => serializer.collect_str(&format_args!("t{text}")),
             Err(_) => serializer.collect_str(&format_args!("b{}", BASE64.encode(&self.0))),
         }
@@ -46,7 +46,7 @@
     }
 }
 
-/// A turn that was answered whole.
+/// A turn whose answer was complete.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRecord {
     /// Team of the turn.
@@ -55,7 +55,7 @@
     pub chain: Vec<RequestId>,
     /// New input of the turn.
     pub input: TextBytes,
-    /// Data of the turn's events, each followed by a line feed.
+    /// Data of the events in the turn's answer, each followed by a line feed.
     pub output: TextBytes,
 }
 
@@ -66,19 +66,19 @@
     }
 }
 
-/// Memory of a cached record beside its contents.
+/// Memory overhead of a cached record beyond its contents.
 const RECORD_OVERHEAD_BYTES: usize = 256;
 
-/// Why a turn cannot be continued.
+/// Reason why a turn cannot be continued.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum TurnError {
-    /// The turn surely does not exist, or belongs to another team.
+    /// The turn does not exist or belongs to another team.
     #[snafu(display("no such turn {turn}; name a turn of this team that was answered whole"))]
     Unknown {
-        /// Turn asked for.
+        /// Requested turn.
         turn: RequestId,
     },
-    /// Whether the turn exists cannot be told.
+    /// The store failed, so it is unknown whether the turn exists.
     #[snafu(display("the turn cannot be read: {source}; retry later"))]
     Store {
         /// Cause.
@@ -86,7 +86,7 @@
     },
 }
 
-/// Kept turns, with a bounded cache of those that this node saw.
+/// Access to the stored turns, with a bounded cache.
 pub struct Turns {
     store: SharedRowStore,
     cache: RefCell<TurnCache>,
@@ -95,7 +95,7 @@
 #[derive(Default)]
 struct TurnCache {
     records: HashMap<RequestId, Rc<TurnRecord>>,
-    /// Oldest first.
+    /// Turns in order of insertion, oldest first.
     order: VecDeque<RequestId>,
     used_bytes: usize,
     max_bytes: usize,
@@ -126,11 +126,11 @@
         Self { store, cache: RefCell::new(cache) }
     }
 
-    /// Returns the chain that ends with `turn`, oldest first, with the turns' request ids.
+    /// Returns the chain of turns that ends with `turn`, oldest first.
     ///
     /// # Errors
     ///
-    /// Fails when the turn does not exist, is another team's, or cannot be read.
+    /// Fails when the turn does not exist, belongs to another team, or cannot be read.
     pub async fn chain(
         &self,
         team: &str,
@@ -151,7 +151,7 @@
         Ok(chain)
     }
 
-    /// Records a turn; it counts once this succeeds.
+    /// Stores a turn; it is durable only if this succeeds.
     ///
     /// # Errors
     ///
@@ -169,14 +169,14 @@
         };
         match self.store.write(write).await {
             Ok(RowRead::Written(_)) => Ok(()),
-            // An earlier try of this write took effect although its answer was lost.
+            // An earlier attempt of this write took effect, but its answer was lost.
             Ok(RowRead::Conflict(Some(row))) if row.value == value => Ok(()),
             Ok(RowRead::Conflict(_)) => Err(malformed(&"another turn has the same request id")),
             Err(source) => Err(TurnError::Store { source }),
         }
     }
 
-    /// Caches a turn that this node answered whole.
+    /// Caches a turn that was answered completely.
     pub fn insert_cached(&self, turn: &str, record: Rc<TurnRecord>) {
         self.cache.borrow_mut().insert(turn, record);
     }
@@ -202,7 +202,7 @@
     TurnError::Store { source: RowStoreError::Malformed { detail: error.to_string() } }
 }
 
-/// Returns the prompt that a chain and a new input make up.
+/// Returns the prompt: inputs and outputs of the chain, followed by the new input.
 #[must_use]
 pub fn assemble(chain: &[(RequestId, Rc<TurnRecord>)], input: &[u8]) -> Vec<u8> {
     let earlier: usize =
--- a/crates/coordination/tests/backends.rs
+++ b/crates/coordination/tests/backends.rs
@@ -1,4 +1,4 @@
-//! Backend servers: the list, trust and placement, routes and freshness.
+//! Backend servers: list, placement, avoidance after failures, routes and freshness.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -27,7 +27,7 @@
     }
 }
 
-/// A request that may run again.
+/// Returns the placement request of a request that may run again.
 fn placement_request<'a>(
     policy: PlacementPolicy,
     key: &'a str,
@@ -100,7 +100,7 @@
         let key = format!("program-{key}");
         let preferred = choose(&first, &key, &[]);
         assert_eq!(preferred, choose(&second, &key, &[]));
-        // After the loss of its server a line moves to the same one on every node.
+        // After the loss of its server, a key moves to the same other server on every node.
         let lost = [preferred.clone()];
         assert_eq!(choose(&first, &key, &lost), choose(&second, &key, &lost));
         *used.entry(preferred).or_default() += 1;
@@ -137,7 +137,7 @@
         chosen.expect("some server").id.clone()
     };
     let first = choose(&placement);
-    // What a node with two requests at that server reports.
+    // Another node reports two requests in flight at that server.
     let mut peer = Placement::default();
     peer.begin(&first);
     peer.begin(&first);
@@ -152,29 +152,31 @@
     assert_eq!(choose(&placement), first);
 }
 
-/// Backend servers under calls of many nodes that learn of each other's load now and then.
+/// Simulated load on backend servers, sent by nodes that periodically report their load to each
+/// other.
 struct SimulatedLoad {
     nodes: usize,
     report_interval_ms: u64,
     calls_per_s: u64,
     servers: usize,
-    /// Lines of turns; each call belongs to a random one.
+    /// Number of sessions; each call belongs to a random one.
     sessions: u64,
 }
 
-/// What came of the calls of ten seconds.
+/// Result of a simulation of ten seconds.
 #[derive(Debug, Default)]
 struct SimulationResult {
     calls: u64,
     rejected: u64,
-    /// Calls that went to another server than the one before in their line.
+    /// Calls sent to a different server than the previous call of their session.
     moved: u64,
 }
 
-/// Calls that a backend server runs at once and that wait there; more are turned away.
+/// Calls that a backend server runs concurrently.
 const SERVER_SLOTS: usize = 6;
+/// Calls that wait at a backend server; more are rejected.
 const SERVER_QUEUE_MAX: usize = 24;
-/// Mean time of a call on an idle server.
+/// Mean duration of a call on an idle server.
 const CALL_MEAN_MS: f64 = 33.0;
 
 impl SimulatedLoad {
@@ -183,7 +185,7 @@
         let servers: Vec<ServerEntry> =
             (0..self.servers).map(|index| entry(&format!("s{index}"))).collect();
         let mut nodes: Vec<Placement> = (0..self.nodes).map(|_| Placement::default()).collect();
-        // Calls at each server: the node that sent it and the work left.
+        // Calls at each server, with the node that sent each and its remaining duration.
         let mut running: Vec<VecDeque<(usize, f64)>> = vec![VecDeque::new(); self.servers];
         let mut result = SimulationResult::default();
         let mut last_servers: HashMap<u64, usize> = HashMap::new();
@@ -229,8 +231,9 @@
     }
 }
 
-/// Pattern: herding on stale load. Many nodes that see the same old loads all send to the server
-/// that was the least loaded one; it turns calls away although a third of all slots suffices.
+/// Guards against herding on stale load reports. Nodes that see the same outdated loads all choose
+/// the server that was least loaded, which then rejects calls although a third of all slots would
+/// suffice.
 #[test]
 fn stale_loads_of_a_large_fleet_do_not_send_all_nodes_to_one_server() {
     let load = SimulatedLoad {
@@ -244,11 +247,12 @@
     let two_choices = load.simulate(PlacementPolicy::TwoChoices);
     println!("{two_choices:?}, least loaded {least_loaded:?}");
     assert_eq!(two_choices.rejected, 0);
-    assert!(least_loaded.rejected > 0, "the baseline herds");
+    assert!(least_loaded.rejected > 0, "the baseline shows herding");
 }
 
-/// Pattern: lines of turns that leave a loaded server. Each move has a prompt read again, which
-/// is load in turn; a line must not go on to whichever server looks idle.
+/// Guards against sessions that move from server to server. Each move away from a loaded server
+/// requires another prefill of the prompt, which adds load, so a session must not move to any
+/// server that looks idle.
 #[test]
 fn lines_that_leave_a_loaded_server_do_not_wander() {
     let load = SimulatedLoad {
@@ -265,7 +269,7 @@
     assert!(next.rejected <= anywhere.rejected, "{next:?}, anywhere {anywhere:?}");
 }
 
-/// A small fleet loses nothing by it.
+/// Choosing between only two servers also works in a small fleet.
 #[test]
 fn two_choices_suffice_in_a_small_fleet() {
     let load = SimulatedLoad {
@@ -296,8 +300,8 @@
     assert_eq!(choose(&placement, pause), first);
 }
 
-/// Pattern: servers that look healthy and reset what they are sent. What may not run again must
-/// not be the one to find out whether they recovered.
+/// Guards against failed requests that must not run again. Some servers look healthy but reset
+/// connections; only requests that may run again should probe whether they have recovered.
 #[test]
 fn requests_that_may_not_run_again_avoid_servers_on_probation() {
     let servers = [entry("a"), entry("b")];
@@ -311,13 +315,13 @@
     };
     let first = choose(&placement, false, Duration::ZERO);
     let pause = placement.note_failure(&first, Duration::ZERO);
-    assert_eq!(choose(&placement, true, pause), first, "it is tried out by what may run again");
+    assert_eq!(choose(&placement, true, pause), first, "requests that may run again probe it");
     assert_ne!(choose(&placement, false, pause), first);
     placement.note_success(&first);
     assert_eq!(choose(&placement, false, pause), first);
 }
 
-/// Pattern: the same, over many nodes, each of which would have to fail there first.
+/// Guards against every node of a fleet having to observe a failure of the same server itself.
 #[test]
 fn a_server_that_two_other_nodes_avoid_is_avoided() {
     let servers = [entry("a"), entry("b")];
@@ -332,12 +336,12 @@
     let avoided = peer.own_avoided(Duration::ZERO);
     placement.set_peer_avoided("n1", avoided.clone());
     placement.set_peer_avoided("n1", avoided.clone());
-    assert_eq!(choose(&placement), first, "one node may have lost its own way there");
+    assert_eq!(choose(&placement), first, "a single node may have lost its network path");
     placement.set_peer_avoided("n2", avoided);
     assert_ne!(choose(&placement), first);
     placement.forget_peer("n1");
     assert_eq!(choose(&placement), first);
-    assert!(peer.own_avoided(Duration::from_secs(1)).is_empty(), "it has been avoided enough");
+    assert!(peer.own_avoided(Duration::from_secs(1)).is_empty(), "the avoidance has expired");
 }
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
@@ -401,7 +405,7 @@
     freshness.confirm(10 * second);
     assert!(freshness.is_fresh(14 * second));
     assert!(!freshness.is_fresh(15 * second));
-    // An answer to an older question proves nothing newer.
+    // A late answer to an older query does not extend the confirmation.
     freshness.confirm(9 * second);
     assert_eq!(freshness.age(12 * second), Some(2 * second));
 }
--- a/crates/coordination/tests/journal.rs
+++ b/crates/coordination/tests/journal.rs
@@ -1,4 +1,4 @@
-//! The journal under random lost answers, outages and fencing, with a fake clock.
+//! Property test of the journal with random lost answers, lost requests and fencing.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
 const SEED: u64 = 31;
 const NODE: &str = "node-a";
 
-/// What happens to the next transaction.
+/// Scripted outcome of one transaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ScriptedOutcome {
     Answered,
@@ -29,7 +29,7 @@
     Fenced,
 }
 
-/// Table whose transactions meet scripted outcomes.
+/// Table with scripted outcomes of transactions.
 struct FaultyTable {
     memory: Arc<MemoryTable>,
     outcomes: RefCell<VecDeque<ScriptedOutcome>>,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Appends `count` records against scripted outcomes; returns those acknowledged and those stored.
+/// Appends `count` records with scripted outcomes; returns the acknowledged and the stored ones.
 fn run_journal(count: u64, outcomes: &[ScriptedOutcome]) -> (Vec<u64>, Vec<u64>) {
     let memory = Arc::new(MemoryTable::default());
     write_member(&memory, MemberState::Live);
@@ -161,7 +161,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// What is acknowledged is stored once and in order, and nothing is stored after a fencing.
+    /// Acknowledged records are stored once and in order, and none is stored after fencing.
     #[test]
     fn acknowledged_records_are_stored_once(
         count in 1_u64..12,
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Token budgets of programs over several nodes and failures of the store.
+//! Token budgets of programs shared by several nodes, and store failures.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,10 +10,9 @@
 use tokio::task::LocalSet;
 
 const TOKENS_MAX: u64 = 100;
-/// Time that a turn takes.
 const TURN_DURATION: Duration = Duration::from_millis(300);
 
-/// Nodes that reach each other.
+/// Nodes that can send release requests to each other.
 #[derive(Default)]
 struct Fleet {
     clock: StepClock,
@@ -51,7 +50,7 @@
         node
     }
 
-    /// Makes a node unreachable.
+    /// Makes a node unreachable for release requests.
     fn disconnect(&self, name: &str) {
         self.nodes.borrow_mut().retain(|(id, _)| id != name);
     }
@@ -61,7 +60,7 @@
     Rc::new(Fleet::default()).add(rows, name)
 }
 
-/// Runs a test whose nodes ask each other.
+/// Runs a test with a task set for release requests between nodes.
 async fn with_tasks(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
@@ -89,7 +88,7 @@
             }
         }
         assert!(delivered <= budget, "{delivered} tokens of {budget}");
-        // The last turn starts while its most tokens still fit.
+        // A turn starts only while its maximum number of tokens still fits.
         assert!(delivered > budget - 2 * TOKENS_MAX, "only {delivered} tokens of {budget}");
         assert!(refused > 0);
     })
@@ -118,7 +117,7 @@
         let is_first = first.reserve("p", TOKENS_MAX, 250).await.expect("fits");
         assert!(is_first, "the first turn of the program");
         first.settle("p", TOKENS_MAX, 30).await;
-        // The second node saw neither the claim nor its settlement.
+        // The second node has seen neither the claim nor its settlement.
         assert!(!second.reserve("p", TOKENS_MAX, 250).await.expect("fits"));
         second.settle("p", TOKENS_MAX, 30).await;
         first.reserve("p", TOKENS_MAX, 250).await.expect("60 tokens were delivered, 100 more fit");
@@ -138,7 +137,7 @@
     ledgers
         .reserve("p", TOKENS_MAX, 300)
         .await
-        .expect("the row shows that it did not, so it is repeated");
+        .expect("the row shows that the write was lost, so it is retried");
     assert_eq!(rows.write_count(), 3);
     let refused = ledgers.reserve("p", TOKENS_MAX, 300).await;
     assert!(is_spent(&refused), "{refused:?}");
@@ -159,8 +158,8 @@
     assert_eq!(rows.write_count(), 1);
 }
 
-/// Load: many short programs, each on one node; the store's writes bind. Claims of one turn, the
-/// baseline, write the row once a turn.
+/// Guards against exhausting the store's write rate with many short programs, each on one node.
+/// Claims that cover only one turn would write the row for every turn.
 #[tokio::test(flavor = "current_thread")]
 async fn a_program_of_one_node_writes_its_row_once_in_three_turns_at_most() {
     let rows = MemoryRows::default();
@@ -180,7 +179,8 @@
     assert!(writes * 3 <= programs * turns, "{writes} writes for {} turns", programs * turns);
 }
 
-/// Load: the lines of a program move between nodes, and its budget is just enough.
+/// Guards against a refusal while other nodes hold unused claims. The turns of a program alternate
+/// between nodes, and its budget is just large enough.
 #[tokio::test(flavor = "current_thread")]
 async fn moving_lines_find_what_other_nodes_claimed_ahead() {
     with_tasks(async {
@@ -197,12 +197,13 @@
                 node.settle(&program, TOKENS_MAX, 55).await;
             }
         }
-        assert!(!fleet.release_requests.borrow().is_empty(), "claims ahead were asked back");
+        assert!(!fleet.release_requests.borrow().is_empty(), "release requests were sent");
     })
     .await;
 }
 
-/// Load: a program loops without end on a spent budget whose claims are all in use.
+/// Guards against endless release requests from a program that loops on a spent budget while all
+/// claims are in use.
 #[tokio::test(flavor = "current_thread")]
 async fn a_looping_program_asks_ever_less_often() {
     with_tasks(async {
@@ -215,7 +216,7 @@
             assert!(is_spent(&refused), "{refused:?}");
             fleet.clock.advance(Duration::from_millis(100));
         }
-        // Rounds of two at 0, 0.25, 0.75, 1.75, 3.75 and 7.75 s.
+        // Two requests each at 0, 0.25, 0.75, 1.75, 3.75 and 7.75 s.
         let requests = fleet.release_requests.borrow().len();
         assert!(requests <= 12, "{requests} requests in 10 s");
     })
@@ -229,7 +230,7 @@
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
         nodes[0].reserve("p", TOKENS_MAX, 500).await.expect("fits");
         fleet.disconnect("a");
-        // Half of the 400 tokens that were unclaimed beside its turn are lost with the node.
+        // Half of the 400 tokens not needed by its turn were claimed and are lost with the node.
         for _ in 0..2 {
             nodes[1].reserve("p", TOKENS_MAX, 500).await.expect("fits beside the claim");
             nodes[1].settle("p", TOKENS_MAX, 100).await;
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Properties of buckets and splits under random histories.
+//! Property tests of token buckets and limit splits.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// In every window the takes are at most burst + rate x length, whatever is covered.
+    /// In every window at most burst + rate x length tokens are taken, whatever time is covered.
     #[test]
     fn no_window_exceeds_burst_and_rate(
         rate_per_s in 0.1_f64..50.0,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Shares never sum to more than the whole, and a moved share never counts as original.
+    /// Transfers never increase the sum of the shares or mark a transferred share as original.
     #[test]
     fn transfers_never_increase_the_total(
         holders in 1_usize..6,
--- a/crates/coordination/tests/shards.rs
+++ b/crates/coordination/tests/shards.rs
@@ -1,4 +1,4 @@
-//! Shards handed from node to node keep every record.
+//! Shards keep all records when they move between nodes.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 const REGION: &str = "local";
 const TEAM: &str = "crew";
 
-/// The parts of one node that own a shard.
+/// Components of one node that are needed to own a shard.
 struct ShardNode {
     id: String,
     journal: Rc<Journal>,
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Kept turns: chains over nodes, teams and failures of the store.
+//! Stored turns: chains across nodes, separation of teams, and store failures.
 
 use std::rc::Rc;
 
--- a/crates/coordination/tests/usage.rs
+++ b/crates/coordination/tests/usage.rs
@@ -1,4 +1,5 @@
-//! Team limits over many nodes: bounds under floods and cuts, and programs that finish.
+//! Team limits shared by many nodes: bounds under overload and network partitions, and finished
+//! programs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,7 +18,7 @@
 const REPORT_EVERY: u32 = 10;
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Nodes that report to each other every 100 ms, 10 ms late, except across a cut.
+/// Nodes that report to each other every 100 ms, 10 ms late, except across a partition.
 struct Fleet {
     nodes: Vec<UsageLimiter>,
     now: Duration,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Returns the most requests sent within any window.
+    /// Returns the maximum number of requests sent within any window.
     fn busiest_window(&mut self) -> usize {
         self.sent_at.sort_unstable();
         let mut busiest = 0;
@@ -83,7 +84,7 @@
     }
 }
 
-/// What a window may hold: rate and burst, a tenth over, and 20 requests.
+/// Maximum requests per window: rate and burst with a tolerance of a tenth and 20 requests.
 const WINDOW_MAX: usize = 350;
 
 #[test]
@@ -100,7 +101,7 @@
     let sent = fleet.sent_at.len();
     let busiest = fleet.busiest_window();
     assert!(busiest <= WINDOW_MAX, "{busiest} in a window");
-    // 20 s at 50 a second and the burst.
+    // 20 s at 50 requests per second, plus the burst.
     assert!(sent >= 1_000, "only {sent} of 1050 were used");
 }
 
@@ -110,7 +111,7 @@
     let mut refused = 0;
     for step in 0..2_000 {
         fleet.advance();
-        // 40 a second, all through one node.
+        // 40 requests per second, all through one node.
         if step % 5 < 2 && !fleet.take(3, CONTINUES) {
             refused += 1;
         }
@@ -164,7 +165,7 @@
             }
             now += report_interval(members);
         }
-        // Two reports in a row may be lost.
+        // Two consecutive reports may be lost.
         now += 2 * report_interval(members);
         let covered = limiter.covered_share(now);
         assert!((covered - 1.0).abs() < f64::EPSILON, "{covered} with {members} members");
@@ -187,7 +188,7 @@
     };
     limiter.take(team, LIMITS, CONTINUES, now).expect("full");
     limiter.note_report("n1", 1, counts(0), now);
-    // Two reports were held up for 300 ms and are read within a tenth of a millisecond.
+    // Two reports were delayed by 300 ms and arrive within 0.1 ms of each other.
     now += Duration::from_millis(300);
     limiter.note_report("n1", 1, counts(2), now);
     limiter.note_report("n1", 1, counts(4), now + Duration::from_micros(100));
@@ -203,7 +204,7 @@
         fleet.advance();
         fleet.take(0, CONTINUES);
     }
-    // The flood has emptied the bucket; a fresh node must not hold a burst of its own.
+    // The bucket is empty, so a new node must not start with a burst of its own.
     let mut fresh = UsageLimiter::default();
     let report = fleet.nodes[1].own_admitted();
     let spent = fleet.nodes[0].own_admitted();
@@ -211,7 +212,7 @@
     fresh.note_report("n1", 1, report, fleet.now);
     let team = team_hash("alpha");
     let admitted = (0..50).filter(|_| fresh.take(team, LIMITS, CONTINUES, fleet.now).is_ok());
-    // A wait of up to 300 ms holds 15 tokens.
+    // 15 tokens accrue within the maximum wait of 300 ms.
     assert!(admitted.count() <= 16);
 }
 
@@ -219,24 +220,24 @@
 fn a_node_alone_serves_at_once_after_its_start() {
     let mut limiter = UsageLimiter::default();
     let (team, now) = (team_hash("alpha"), Duration::from_millis(300));
-    // Half of the burst holds three programs of the length assumed at first.
+    // Half of the burst suffices for starting three programs of the default length.
     for _ in 0..3 {
         assert_eq!(limiter.take(team, LIMITS, Step::Begins, now), Ok(Duration::ZERO));
     }
 }
 
-/// Pattern: a team whose limit was lowered far below what its programs need. Finishing few
-/// programs beats starting many.
+/// Simulates a team whose limit was lowered far below the demand of its programs, and returns the
+/// number of finished programs.
 fn programs_finished(defers_new: bool, time_left: Duration) -> usize {
     const REQUESTS: u32 = 15;
     let mut random = StdRng::seed_from_u64(3);
     let mut fleet = Fleet::new(13);
-    // Requests done and step of the next one, by program.
+    // Completed requests of each program, and the step of its next request.
     let mut programs: Vec<(u32, u32)> = Vec::new();
     let mut finished = 0;
     for step in 0..3_000_u32 {
         fleet.advance();
-        // 6.7 programs a second need 100 requests a second; the limit holds 50.
+        // 6.7 programs per second need 100 requests per second; the limit is 50.
         if step % 15 == 0 {
             programs.push((0, step));
         }
@@ -251,7 +252,7 @@
             let is_sent = fleet.take(random.random_range(0..13), place);
             match done + u32::from(is_sent) {
                 REQUESTS => finished += 1,
-                // A refused program is lost.
+                // A program with a refused request is abandoned.
                 _ if !is_sent => {}
                 done => kept.push((done, step + random.random_range(5..20))),
             }
@@ -266,34 +267,38 @@
     let time_left = Duration::from_millis(900);
     let with = programs_finished(true, time_left);
     let without = programs_finished(false, time_left);
-    println!("finished {with} programs, {without} without holding back");
-    // 30 s at 50 requests a second hold 100 programs of 15; the baseline treats all requests alike.
+    println!("finished {with} programs, {without} without deferring new ones");
+    // 30 s at 50 requests per second suffice for 100 programs of 15 requests. The baseline treats
+    // all requests alike.
     assert!(with >= 80, "{with} finished");
-    assert!(with > without, "{with} finished, {without} without holding back");
+    assert!(with > without, "{with} finished, {without} without deferring new ones");
 }
 
-/// Pattern: a request in the middle of a program that waits for its token, within the time that
-/// it has, saves what the program has spent so far.
+/// Guards against refusals within started programs, which waste the tokens that the programs have
+/// already used. A request with enough time left waits for its token instead.
 #[test]
 fn requests_with_time_left_wait_for_their_tokens() {
     let finished = |time_left_ms| programs_finished(true, Duration::from_millis(time_left_ms));
     let (long_deadline, short_deadline) = (finished(3_000), finished(300));
     println!("finished {long_deadline} programs with 3 s left, {short_deadline} with 0.3 s");
     assert!(long_deadline >= 90, "{long_deadline} finished");
-    assert!(long_deadline > short_deadline, "{long_deadline} finished, {short_deadline} in haste");
+    assert!(
+        long_deadline > short_deadline,
+        "{long_deadline} finished, {short_deadline} with 0.3 s"
+    );
 }
 
-/// A team over its limit whose programs go through many nodes.
+/// Simulated team that exceeds its limit and whose programs use many nodes.
 struct LimitedTeam {
     nodes: usize,
     rate_per_s: f64,
-    /// Longest program, in turns.
+    /// Maximum number of turns per program.
     turns_max: u32,
-    /// What its programs need, in parts of the limit.
+    /// Demand of its programs as a multiple of the limit.
     demand: f64,
 }
 
-/// Programs of 30 s.
+/// Outcome of the programs in a simulation of 30 s.
 #[derive(Debug, Default)]
 struct SimulationResult {
     in_time: u32,
@@ -304,7 +309,7 @@
 #[derive(Debug)]
 struct Program {
     turns_left: u32,
-    /// Calls before the next turn.
+    /// Calls left before the next turn.
     calls_left: u32,
     has_started: bool,
     refusals: u32,
@@ -321,7 +326,8 @@
             has_started: false,
             refusals: 0,
             waited: Duration::ZERO,
-            // A turn with its calls takes 0.4 s; the aim leaves 0.7 of that, and 0.25 s.
+            // A turn with its calls takes 0.4 s; the deadline allows a wait of 0.7 times that per
+            // turn, plus 0.25 s.
             waited_max: Duration::from_millis(u64::from(turns) * 280 + 250),
             next_at: now,
         }
@@ -351,7 +357,7 @@
         self.turns_left == 0 && self.calls_left == 0
     }
 
-    /// Records a refusal; returns whether the program is given up.
+    /// Records a refusal; returns whether the program is abandoned.
     fn refuse(&mut self, pause: Duration) -> bool {
         self.refusals += 1;
         self.waited += pause;
@@ -397,8 +403,9 @@
     }
 }
 
-/// Pattern: many small teams over many nodes. A node that meets a team for the first time must not
-/// take its bucket for full: too many programs would begin, and few would end in time.
+/// Guards against too many started programs of small teams on many nodes. If a node assumed a full
+/// bucket for a team that it sees for the first time, too many programs would start, and few would
+/// finish in time.
 #[test]
 fn a_limited_team_finishes_as_much_through_many_nodes_as_through_few() {
     let simulate = |nodes| {
