--- a/crates/coordination/src/limits/usage.rs
+++ b/crates/coordination/src/limits/usage.rs
@@ -95,7 +95,7 @@
 #[derive(Debug)]
 struct Member {
     incarnation: u64,
-    heard_at: Duration,
+    last_report_at: Duration,
     admitted: AdmittedCounts,
     rates_per_s: HashMap<TeamHash, f64>,
 }
@@ -222,11 +222,11 @@
             self.seed_from_report(&admitted, now);
         }
         let known = self.members.remove(member);
-        let is_new = known.as_ref().is_none_or(|known| known.heard_at.is_zero());
+        let is_new = known.as_ref().is_none_or(|known| known.last_report_at.is_zero());
         let is_restarted = known.as_ref().is_some_and(|known| known.incarnation != incarnation);
         let mut known = known.unwrap_or_else(|| Member {
             incarnation,
-            heard_at: now,
+            last_report_at: now,
             admitted: admitted.clone(),
             rates_per_s: HashMap::new(),
         });
@@ -235,7 +235,8 @@
         }
         let requests_per_program = self.requests_per_program(now);
         // Delayed reports arrive together, so a shorter interval would overestimate the rate.
-        let elapsed_s = now.saturating_sub(known.heard_at).max(REPORT_INTERVAL_MIN).as_secs_f64();
+        let elapsed_s =
+            now.saturating_sub(known.last_report_at).max(REPORT_INTERVAL_MIN).as_secs_f64();
         for (team, count) in &admitted {
             let before = known.admitted.get(team).copied().unwrap_or_default();
             // A refund may lower a count; a negative difference returns tokens to the bucket.
@@ -254,7 +255,7 @@
             *rate += RATE_WEIGHT * ((delta / elapsed_s).max(0.0) - *rate);
         }
         known.incarnation = incarnation;
-        known.heard_at = now;
+        known.last_report_at = now;
         known.admitted = admitted;
         self.members.insert(member.to_owned(), known);
     }
@@ -263,7 +264,7 @@
     pub fn note_listed(&mut self, member: &str) {
         self.members.entry(member.to_owned()).or_insert_with(|| Member {
             incarnation: 0,
-            heard_at: Duration::ZERO,
+            last_report_at: Duration::ZERO,
             admitted: AdmittedCounts::new(),
             rates_per_s: HashMap::new(),
         });
@@ -279,7 +280,7 @@
         let silent: Vec<MemberId> = self
             .members
             .iter()
-            .filter(|(_, member)| now >= member.heard_at + FORGET_AFTER)
+            .filter(|(_, member)| now >= member.last_report_at + FORGET_AFTER)
             .map(|(id, _)| id.clone())
             .collect();
         for id in &silent {
@@ -292,17 +293,17 @@
     #[must_use]
     pub fn covered_share(&self, now: Duration) -> f64 {
         let silence_timeout = silence_timeout(self.members.len());
-        let is_heard = |member: &&Member| member.is_heard(now, silence_timeout);
-        let heard = self.members.values().filter(is_heard).count();
+        let is_reporting = |member: &&Member| member.is_reporting(now, silence_timeout);
+        let reporting = self.members.values().filter(is_reporting).count();
         #[expect(clippy::cast_precision_loss, reason = "a few hundred members")]
-        let share = (heard + 1) as f64 / (self.members.len() + 1) as f64;
+        let share = (reporting + 1) as f64 / (self.members.len() + 1) as f64;
         share
     }
 
     /// Returns the other nodes and whether each has reported within the silence timeout.
     pub fn members(&self, now: Duration) -> impl Iterator<Item = (&MemberId, bool)> {
         let silence_timeout = silence_timeout(self.members.len());
-        self.members.iter().map(move |(id, member)| (id, member.is_heard(now, silence_timeout)))
+        self.members.iter().map(move |(id, member)| (id, member.is_reporting(now, silence_timeout)))
     }
 
     /// Returns the average number of requests per program over all teams.
@@ -337,18 +338,18 @@
         let silence_timeout = silence_timeout(self.members.len());
         self.members
             .values()
-            .filter(|member| member.is_heard(now, silence_timeout))
+            .filter(|member| member.is_reporting(now, silence_timeout))
             .map(|member| {
                 let rate = member.rates_per_s.get(&team).copied().unwrap_or_default();
-                rate * now.saturating_sub(member.heard_at).as_secs_f64()
+                rate * now.saturating_sub(member.last_report_at).as_secs_f64()
             })
             .sum()
     }
 }
 
 impl Member {
-    fn is_heard(&self, now: Duration, silence_timeout: Duration) -> bool {
-        now < self.heard_at + silence_timeout && self.heard_at > Duration::ZERO
+    fn is_reporting(&self, now: Duration, silence_timeout: Duration) -> bool {
+        now < self.last_report_at + silence_timeout && self.last_report_at > Duration::ZERO
     }
 }
 
--- a/crates/coordination/tests/backends.rs
+++ b/crates/coordination/tests/backends.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn equal_keys_meet_on_one_server_on_every_node() {
+fn equal_keys_map_to_the_same_server_on_every_node() {
     let servers: Vec<ServerEntry> = (0..18).map(|index| entry(&format!("s{index}"))).collect();
     let choose = |placement: &Placement, key: &str, excluded: &[String]| {
         let policy = PlacementPolicy::Affinity;
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn load_moves_a_line_only_beyond_the_cost_of_reading_again() {
+fn load_moves_a_session_only_beyond_the_prefill_cost() {
     let servers: Vec<ServerEntry> = (0..4).map(|index| entry(&format!("s{index}"))).collect();
     let mut placement = Placement::default();
     let choose = |placement: &Placement| {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_load_of_other_nodes_counts_until_they_are_silent() {
+fn the_load_of_other_nodes_counts_until_they_are_unreachable() {
     let servers = [entry("a"), entry("b")];
     let mut placement = Placement::default();
     let choose = |placement: &Placement| {
@@ -388,7 +388,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_the_request() {
+fn a_traffic_split_depends_on_its_weights_and_the_request_id() {
     let route = route("r", "h", "/");
     let ids: Vec<String> = (0..2_000).map(|id| format!("{id:x}")).collect();
     let to_y =
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn parallel_turns_reserve_their_most_tokens() {
+async fn parallel_turns_reserve_their_maximum_tokens() {
     with_tasks(async {
         let rows = MemoryRows::default();
         let (_fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn unused_tokens_of_another_node_count_again_before_a_refusal() {
+async fn unused_tokens_of_another_node_are_released_before_a_refusal() {
     with_tasks(async {
         let rows = MemoryRows::default();
         let (_fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
@@ -182,7 +182,7 @@
 /// Guards against a refusal while other nodes hold unused claims. The turns of a program alternate
 /// between nodes, and its budget is just large enough.
 #[tokio::test(flavor = "current_thread")]
-async fn moving_lines_find_what_other_nodes_claimed_ahead() {
+async fn sessions_that_change_nodes_find_tokens_claimed_ahead_by_others() {
     with_tasks(async {
         let rows = MemoryRows::default();
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b", "c"]);
@@ -205,7 +205,7 @@
 /// Guards against endless release requests from a program that loops on a spent budget while all
 /// claims are in use.
 #[tokio::test(flavor = "current_thread")]
-async fn a_looping_program_asks_ever_less_often() {
+async fn release_requests_of_a_looping_program_back_off() {
     with_tasks(async {
         let rows = MemoryRows::default();
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
@@ -224,7 +224,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_killed_node_leaves_its_claim_and_no_more() {
+async fn a_killed_node_loses_only_its_claim() {
     with_tasks(async {
         let rows = MemoryRows::default();
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
@@ -242,7 +242,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_planned_stop_gives_unused_claims_back() {
+async fn a_planned_stop_releases_unused_claims() {
     let rows = MemoryRows::default();
     let (first, second) = (node(&rows, "a"), node(&rows, "b"));
     first.reserve("p", TOKENS_MAX, 1_200).await.expect("fits, with turns ahead");
--- a/crates/coordination/tests/usage.rs
+++ b/crates/coordination/tests/usage.rs
@@ -18,7 +18,7 @@
 const REPORT_EVERY: u32 = 10;
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Nodes that report to each other every 100 ms, 10 ms late, except across a partition.
+/// Nodes that report to each other every 100 ms, except across a partition.
 struct Fleet {
     nodes: Vec<UsageLimiter>,
     now: Duration,
@@ -88,7 +88,7 @@
 const WINDOW_MAX: usize = 350;
 
 #[test]
-fn a_flood_through_all_nodes_stays_within_the_limit_and_uses_it() {
+fn overload_on_all_nodes_stays_within_the_limit_and_uses_it() {
     let mut random = StdRng::seed_from_u64(1);
     let mut fleet = Fleet::new(13);
     for _ in 0..2_000 {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn uneven_nodes_need_no_shares() {
+fn a_single_node_may_spend_the_whole_limit() {
     let mut fleet = Fleet::new(13);
     let mut refused = 0;
     for step in 0..2_000 {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn cut_nodes_and_the_others_together_stay_within_the_limit() {
+fn both_sides_of_a_partition_together_stay_within_the_limit() {
     let mut random = StdRng::seed_from_u64(2);
     let mut fleet = Fleet::new(12);
     for step in 0..3_000 {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_silent_node_keeps_its_part_in_reserve() {
+fn the_share_of_a_silent_node_stays_reserved() {
     let mut fleet = Fleet::new(4);
     (0..200).for_each(|_| fleet.advance());
     assert!((fleet.nodes[0].covered_share(fleet.now) - 1.0).abs() < f64::EPSILON);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_large_fleet_that_reports_at_its_own_pace_is_not_silent() {
+fn nodes_of_a_large_fleet_with_longer_report_intervals_are_not_silent() {
     for members in [1, 12, 86, 359] {
         let mut limiter = UsageLimiter::default();
         let mut now = Duration::from_secs(1);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn reports_that_arrive_together_do_not_count_as_a_flood() {
+fn delayed_reports_that_arrive_together_do_not_raise_the_rate() {
     let mut limiter = UsageLimiter::default();
     let team = team_hash("alpha");
     let mut now = Duration::from_secs(20);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_node_that_starts_takes_the_buckets_over() {
+fn a_starting_node_initializes_its_buckets_from_reports() {
     let mut fleet = Fleet::new(4);
     for _ in 0..1_000 {
         fleet.advance();
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_node_alone_serves_at_once_after_its_start() {
+fn a_single_node_admits_requests_immediately_after_its_start() {
     let mut limiter = UsageLimiter::default();
     let (team, now) = (team_hash("alpha"), Duration::from_millis(300));
     // Half of the burst suffices for starting three programs of the default length.
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -208,7 +208,7 @@
             Some(_) => PlacementPolicy::Affinity,
             None => PlacementPolicy::TwoChoices,
         };
-        let demand = PlacementRequest {
+        let placement_request = PlacementRequest {
             policy,
             key: &self.admitted.placement_key,
             may_repeat: self.admitted.route.repeat.may_repeat(),
@@ -216,7 +216,7 @@
         };
         let ready = servers.ready(&self.admitted.service);
         let now = self.node.clock.monotonic_now();
-        self.node.placement.borrow().choose(demand, ready, now).cloned()
+        self.node.placement.borrow().choose(placement_request, ready, now).cloned()
     }
 
     /// Returns the server that a further run must use, because no more servers may run it.
