--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be reached; the next call continues.
+    /// Fails when the platform cannot be reached; the next call reads the rows this one missed.
     pub async fn poll(&self) -> PlatformResult<bool> {
         let head = read_head(&*self.table).await?.1;
         self.head_read_at.set(Some(self.clock.monotonic()));
@@ -126,8 +126,8 @@
 
     /// Marks `target` as fenced, so that it cannot commit anything more.
     ///
-    /// Returns whether the member is now fenced. Fencing is rate limited, so that a network
-    /// partition cannot get most of the fleet fenced.
+    /// Returns whether the member is now fenced or already removed. Fencing is rate limited, so
+    /// that a network partition cannot get most of the fleet fenced.
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Runs the node until it is fenced; it must be registered.
+    /// Runs the node, which must be registered, until it is fenced.
     pub async fn run(&self, config: &dyn ConfigWatcher) {
         let work = std::pin::pin!(join3(
             self.journal.run(),
--- a/crates/coordination/src/platform.rs
+++ b/crates/coordination/src/platform.rs
@@ -122,7 +122,7 @@
     /// The response or a stored value is malformed.
     #[snafu(display("the platform's answer is malformed ({detail}); check its version"))]
     Malformed {
-        /// Description of the fault in the response.
+        /// Description of the fault.
         detail: String,
     },
 }
