--- a/crates/daemon/benches/capacity/probe.rs
+++ b/crates/daemon/benches/capacity/probe.rs
@@ -9,9 +9,9 @@
 use crate::support::fleet::{Fleet, Node};
 
 /// Length of one window.
-const WINDOW: Duration = Duration::from_secs(4);
+const WINDOW_DURATION: Duration = Duration::from_secs(4);
 /// Windows of one point.
-const WINDOWS: usize = 3;
+const WINDOWS_PER_POINT: usize = 3;
 /// Clock ticks per second of `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
 /// Nodes whose figures are averaged.
@@ -62,18 +62,18 @@
 
 /// Measures the sampled nodes for a few windows.
 pub async fn measure(fleet: &Fleet, point: &mut Point) {
-    for _ in 0..WINDOWS {
+    for _ in 0..WINDOWS_PER_POINT {
         let nodes = &fleet.nodes[..fleet.nodes.len().min(SAMPLED_NODES)];
         let mut before = Vec::new();
         for node in nodes {
             before.push(sample(fleet, node).await);
         }
-        let begun = Instant::now();
-        fleet.pause(WINDOW).await;
+        let started = Instant::now();
+        fleet.pause(WINDOW_DURATION).await;
         let mut sums: BTreeMap<&str, f64> = BTreeMap::new();
         for (node, before) in nodes.iter().zip(&before) {
             let after = sample(fleet, node).await;
-            add_differences(&mut sums, before, &after, begun.elapsed().as_secs_f64());
+            add_differences(&mut sums, before, &after, started.elapsed().as_secs_f64());
         }
         let count = f64::from(u32::try_from(nodes.len()).unwrap_or(u32::MAX));
         for (metric, sum) in sums {
--- a/crates/daemon/benches/capacity/scenarios.rs
+++ b/crates/daemon/benches/capacity/scenarios.rs
@@ -16,7 +16,7 @@
 const RUNNERS: &[usize] = &[10, 100, 500, 1_900];
 const REQUESTS_PER_S: &[usize] = &[0, 10, 30, 90, 180];
 const CHANGES_PER_MINUTE: &[usize] = &[0, 6, 30, 120];
-const TAKEOVERS: usize = 3;
+const TAKEOVER_RUNS: usize = 3;
 /// Opens under way at the same time.
 const OPENERS: usize = 64;
 
@@ -112,9 +112,9 @@
     let fleet = start(3).await;
     let mut point = Point::new(scenario, count);
     let objects = grow(fleet.sample_objects(), count);
-    let begun = Instant::now();
+    let started = Instant::now();
     fleet.publish(objects.clone(), "grown").await.expect(200);
-    point.add("publish_s", begun.elapsed().as_secs_f64());
+    point.add("publish_s", started.elapsed().as_secs_f64());
     let accepted = Instant::now();
     fleet.wait_config(2).await;
     point.add("spread_s", accepted.elapsed().as_secs_f64());
@@ -136,10 +136,10 @@
     let mut points = Vec::new();
     for programs in PROGRAMS {
         let mut point = Point::new("programs", *programs);
-        let begun = Instant::now();
+        let started = Instant::now();
         open_programs(&fleet, programs - opened).await;
         let count = f64::from(u32::try_from(programs - opened).unwrap_or(u32::MAX));
-        point.add("opened_per_s", count / begun.elapsed().as_secs_f64());
+        point.add("opened_per_s", count / started.elapsed().as_secs_f64());
         opened = *programs;
         measure(&fleet, &mut point).await;
         points.push(point.print());
@@ -197,8 +197,8 @@
     }
     let pause = Duration::from_secs(1) / u32::try_from(per_s).unwrap_or(u32::MAX);
     let failed = Rc::new(Cell::new(0));
-    let under_way = Rc::new(Cell::new(0_usize));
-    let begun = Instant::now();
+    let in_flight = Rc::new(Cell::new(0_usize));
+    let started = Instant::now();
     let mut sent = 0_u32;
     while !stop.get() {
         let request =
@@ -207,19 +207,19 @@
             "model": "geo", "stream": true,
             "messages": [{ "role": "user", "content": format!("question {sent}") }],
         });
-        let (http, failed, under_way) = (http.clone(), Rc::clone(&failed), Rc::clone(&under_way));
-        under_way.set(under_way.get() + 1);
+        let (http, failed, in_flight) = (http.clone(), Rc::clone(&failed), Rc::clone(&in_flight));
+        in_flight.set(in_flight.get() + 1);
         ntex::rt::spawn(async move {
             let reply = http.send(request.bearer_auth(ALPHA_KEY), body.to_string()).await;
             if !reply.is_ok_and(|reply| reply.body.contains("[DONE]")) {
                 failed.set(failed.get() + 1);
             }
-            under_way.set(under_way.get() - 1);
+            in_flight.set(in_flight.get() - 1);
         });
         sent += 1;
-        ntex::time::sleep((pause * sent).saturating_sub(begun.elapsed())).await;
+        ntex::time::sleep((pause * sent).saturating_sub(started.elapsed())).await;
     }
-    eventually("all calls have ended", async || (under_way.get() == 0).then_some(())).await;
+    eventually("all calls have ended", async || (in_flight.get() == 0).then_some(())).await;
     failed.get()
 }
 
@@ -278,15 +278,15 @@
 /// Kills one of twelve nodes: time until all shards are served, and the platform writes it takes.
 async fn takeover_point() -> Point {
     let mut point = Point::new("takeover", 12);
-    for _ in 0..TAKEOVERS {
+    for _ in 0..TAKEOVER_RUNS {
         let mut fleet = start(12).await;
         let before = platform_writes(&fleet).await;
-        let begun = Instant::now();
+        let started = Instant::now();
         fleet.nodes[11].process.kill();
         fleet.nodes.truncate(11);
         let survivors: Vec<usize> = (0..11).collect();
         fleet.wait_taken_over(&survivors).await;
-        point.add("takeover_s", begun.elapsed().as_secs_f64());
+        point.add("takeover_s", started.elapsed().as_secs_f64());
         point.add("takeover_platform_writes", platform_writes(&fleet).await - before);
     }
     point.print()
--- a/crates/daemon/src/backend/chat.rs
+++ b/crates/daemon/src/backend/chat.rs
@@ -32,7 +32,7 @@
 
 /// Why a chat body cannot be used.
 #[derive(Debug, Snafu)]
-pub enum ChatMessageError {
+pub enum ChatBodyError {
     /// The body is not a chat completion request.
     #[snafu(display("the body is no chat completion request ({source}); see the README"))]
     Malformed {
@@ -55,20 +55,20 @@
     /// # Errors
     ///
     /// Fails when the body is malformed or asks for something unsupported.
-    pub fn parse(bytes: &[u8]) -> Result<Self, ChatMessageError> {
-        let body: Self = serde_json::from_slice(bytes)
-            .map_err(|source| ChatMessageError::Malformed { source })?;
+    pub fn parse(bytes: &[u8]) -> Result<Self, ChatBodyError> {
+        let body: Self =
+            serde_json::from_slice(bytes).map_err(|source| ChatBodyError::Malformed { source })?;
         if body.messages.is_empty() {
             let remedy = "send at least one message";
-            return Err(ChatMessageError::Unsupported { field: "messages", remedy });
+            return Err(ChatBodyError::Unsupported { field: "messages", remedy });
         }
         if body.n.is_some_and(|completions| completions != 1) {
             let remedy = "leave it out; one completion is generated for each call";
-            return Err(ChatMessageError::Unsupported { field: "n", remedy });
+            return Err(ChatBodyError::Unsupported { field: "n", remedy });
         }
         if body.completion_limit() == Some(0) {
             let remedy = "ask for at least one token";
-            return Err(ChatMessageError::Unsupported { field: "max_tokens", remedy });
+            return Err(ChatBodyError::Unsupported { field: "max_tokens", remedy });
         }
         Ok(body)
     }
@@ -136,7 +136,7 @@
 
 /// Assembles the parts of a stream into a whole completion.
 #[derive(Debug, Default)]
-pub struct Assembly {
+pub struct CompletionAssembler {
     id: String,
     created: u64,
     content: String,
@@ -145,7 +145,7 @@
     usage: Option<WireUsage>,
 }
 
-impl Assembly {
+impl CompletionAssembler {
     /// Adds a part.
     ///
     /// # Errors
@@ -181,7 +181,7 @@
 
     /// Returns the whole completion under the route's name.
     #[must_use]
-    pub fn whole(&self, route: &str) -> Vec<u8> {
+    pub fn completion(&self, route: &str) -> Vec<u8> {
         let mut message = json!({ "role": "assistant", "content": self.content });
         if !self.tool_calls.is_empty() {
             message["tool_calls"] = Value::Array(self.tool_calls.clone());
--- a/crates/daemon/src/backend/engine.rs
+++ b/crates/daemon/src/backend/engine.rs
@@ -9,7 +9,7 @@
 use ntex::client::{Client, ClientResponse};
 use ntex::time::timeout;
 
-use super::chat::Assembly;
+use super::chat::CompletionAssembler;
 use super::{BackendAnswer, BackendError};
 use crate::connection::clients::is_never_sent;
 use crate::consts::{DEADLINE_HEADER, JSON, PRIORITY_HEADER, PROGRAM_ID_HEADER, REQUEST_ID_HEADER};
@@ -37,10 +37,10 @@
 /// Receives the progress of a completion.
 pub trait GenerationSink {
     /// Takes the next part of the stream.
-    fn part(&mut self, data: &str);
+    fn on_part(&mut self, data: &str);
 
     /// Learns that the stream was cut or silent and is being resumed.
-    fn resumed(&mut self);
+    fn on_resumed(&mut self);
 }
 
 /// What an engine does for a call.
@@ -69,18 +69,18 @@
 pub struct HttpEngine {
     client: Client,
     base_url: String,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
 impl HttpEngine {
-    /// Creates an adapter; `silence` bounds the pause between two parts of a stream.
+    /// Creates an adapter; `idle_timeout` bounds the pause between two parts of a stream.
     #[must_use]
-    pub fn new(client: Client, address: &str, silence: Duration) -> Self {
-        Self { client, base_url: format!("http://{address}"), silence }
+    pub fn new(client: Client, address: &str, idle_timeout: Duration) -> Self {
+        Self { client, base_url: format!("http://{address}"), idle_timeout }
     }
 
     async fn start(&self, call: &EngineCall) -> Result<ClientResponse, BackendError> {
-        let deadline_ms = self.silence.as_millis().to_string();
+        let deadline_ms = self.idle_timeout.as_millis().to_string();
         let request = self
             .client
             .post(format!("{}/v1/chat/completions", self.base_url))
@@ -89,7 +89,7 @@
             .header(PROGRAM_ID_HEADER, call.program.as_str())
             .header(PRIORITY_HEADER, call.priority.to_string())
             .header(DEADLINE_HEADER, deadline_ms);
-        match timeout(self.silence, request.send_body(call.body.clone())).await {
+        match timeout(self.idle_timeout, request.send_body(call.body.clone())).await {
             Ok(Ok(response)) => check_status(response).await,
             Ok(Err(error)) if is_never_sent(&error) => Err(not_run("cannot be reached")),
             Ok(Err(_)) => Err(lost("closed the connection")),
@@ -99,7 +99,7 @@
 
     async fn resume(&self, call: &EngineCall, offset: usize) -> Option<ClientResponse> {
         let url = format!("{}/v1/requests/{}?offset={offset}", self.base_url, call.request_id);
-        let response = timeout(self.silence, self.client.get(url).send()).await.ok()?.ok()?;
+        let response = timeout(self.idle_timeout, self.client.get(url).send()).await.ok()?.ok()?;
         response.status().is_success().then_some(response)
     }
 
@@ -111,9 +111,9 @@
     ) -> Result<bool, BackendError> {
         let mut events = response.take_payload().eventsource();
         loop {
-            match timeout(self.silence, events.next()).await {
+            match timeout(self.idle_timeout, events.next()).await {
                 Ok(Some(Ok(event))) if event.data == DONE => return Ok(true),
-                Ok(Some(Ok(event))) => state.take(&event.data)?,
+                Ok(Some(Ok(event))) => state.add_part(&event.data)?,
                 Ok(Some(Err(_)) | None) | Err(()) => return Ok(false),
             }
         }
@@ -121,16 +121,16 @@
 }
 
 struct StreamState<'a> {
-    assembly: Assembly,
+    assembler: CompletionAssembler,
     parts: usize,
     sink: &'a mut dyn GenerationSink,
 }
 
 impl StreamState<'_> {
-    fn take(&mut self, data: &str) -> Result<(), BackendError> {
-        self.assembly.add(data).map_err(|_| lost("sent a part that is no completion chunk"))?;
+    fn add_part(&mut self, data: &str) -> Result<(), BackendError> {
+        self.assembler.add(data).map_err(|_| lost("sent a part that is no completion chunk"))?;
         self.parts += 1;
-        self.sink.part(data);
+        self.sink.on_part(data);
         Ok(())
     }
 }
@@ -143,43 +143,43 @@
         sink: &mut dyn GenerationSink,
     ) -> Result<BackendAnswer, BackendError> {
         let mut response = self.start(call).await?;
-        let mut state = StreamState { assembly: Assembly::default(), parts: 0, sink };
+        let mut state = StreamState { assembler: CompletionAssembler::default(), parts: 0, sink };
         let mut resumes = 0;
         while !self.read_parts(&response, &mut state).await? {
             resumes += 1;
             if resumes > RESUMES_MAX {
                 return Err(lost("cut the stream too often"));
             }
-            state.sink.resumed();
+            state.sink.on_resumed();
             response =
                 self.resume(call, state.parts).await.ok_or_else(|| lost("cut the stream"))?;
         }
-        let usage = state.assembly.usage();
-        let (true, Some(usage)) = (state.assembly.is_complete(), usage) else {
+        let usage = state.assembler.usage();
+        let (true, Some(usage)) = (state.assembler.is_complete(), usage) else {
             return Err(lost("ended the stream without a finish reason and usage"));
         };
         let answer = Answer {
             status: 200,
             content_type: JSON.to_owned(),
-            body: Payload(state.assembly.whole(&call.route)),
+            body: Payload(state.assembler.completion(&call.route)),
         };
         Ok(BackendAnswer { answer, usage })
     }
 
     async fn cancel(&self, request_id: &str) {
         let url = format!("{}/v1/requests/{request_id}", self.base_url);
-        let _ = timeout(self.silence, self.client.delete(url).send()).await;
+        let _ = timeout(self.idle_timeout, self.client.delete(url).send()).await;
     }
 
     async fn release(&self, program: &str) -> bool {
         let url = format!("{}/v1/cache/programs/{program}", self.base_url);
-        let sent = timeout(self.silence, self.client.delete(url).send()).await;
+        let sent = timeout(self.idle_timeout, self.client.delete(url).send()).await;
         matches!(sent, Ok(Ok(response)) if response.status().is_success())
     }
 }
 
 async fn check_status(response: ClientResponse) -> Result<ClientResponse, BackendError> {
-    const DETAIL_BYTES: usize = 4096;
+    const DETAIL_MAX_BYTES: usize = 4096;
     let status = response.status();
     if status.is_success() {
         return Ok(response);
@@ -187,7 +187,7 @@
     if status.as_u16() == 503 || status.as_u16() == 429 {
         return Err(not_run("is overloaded"));
     }
-    let body = response.body().limit(DETAIL_BYTES).await.unwrap_or_default();
+    let body = response.body().limit(DETAIL_MAX_BYTES).await.unwrap_or_default();
     if status.is_client_error() {
         let detail = String::from_utf8_lossy(&body);
         return Err(BackendError::NotRun(Refusal::not_run(
--- a/crates/daemon/src/backend/mod.rs
+++ b/crates/daemon/src/backend/mod.rs
@@ -7,7 +7,7 @@
 
 use dandelionfront_coordination::{Answer, Refusal, Usage};
 
-pub use chat::{ChatBody, ChatMessageError, single_chunk};
+pub use chat::{ChatBody, ChatBodyError, single_chunk};
 pub use engine::{EngineCall, GenerationSink, HttpEngine, ModelEngine};
 pub use release::Releaser;
 pub use service::{HttpService, PlainService, ServiceCall};
--- a/crates/daemon/src/backend/release.rs
+++ b/crates/daemon/src/backend/release.rs
@@ -11,7 +11,7 @@
 use super::engine::{HttpEngine, ModelEngine as _};
 
 /// Programs released at the same time.
-const BATCH: usize = 64;
+const BATCH_MAX_PROGRAMS: usize = 64;
 
 /// Asks engines to free the memory of ended programs.
 #[derive(Debug, Clone)]
@@ -33,7 +33,7 @@
         config: &ConfigSnapshot,
         mut unreleased: Vec<UnreleasedProgram>,
     ) -> Vec<ProgramId> {
-        unreleased.truncate(BATCH);
+        unreleased.truncate(BATCH_MAX_PROGRAMS);
         let releases = unreleased.iter().map(|ended| self.release_one(config, ended));
         let confirmed = join_all(releases).await;
         let pairs = unreleased.into_iter().zip(confirmed);
--- a/crates/daemon/src/backend/service.rs
+++ b/crates/daemon/src/backend/service.rs
@@ -71,7 +71,7 @@
             .force_close();
         let response = match request.send_body(call.body.clone()).await {
             Ok(response) => response,
-            Err(error) if is_never_sent(&error) => return Err(unreachable()),
+            Err(error) if is_never_sent(&error) => return Err(service_unreachable()),
             Err(_) => return Err(lost("closed the connection")),
         };
         let content_type = response.header("content-type").and_then(|value| value.to_str().ok());
@@ -99,7 +99,7 @@
     }
 }
 
-fn unreachable() -> BackendError {
+fn service_unreachable() -> BackendError {
     BackendError::NotRun(Refusal::not_run(
         RefusalKind::NoBackend,
         "the service cannot be reached; repeat the call after the pause",
--- a/crates/daemon/src/connection/clients.rs
+++ b/crates/daemon/src/connection/clients.rs
@@ -11,7 +11,7 @@
 /// Time for which an idle connection is kept.
 const KEEP_ALIVE: Seconds = Seconds(15);
 /// Age at which a connection is replaced.
-const LIFETIME: Seconds = Seconds(120);
+const CONNECTION_MAX_AGE: Seconds = Seconds(120);
 /// Connections of one client to all addresses together; the client default is 8.
 const CONNECTIONS_MAX: usize = 16_384;
 
@@ -49,7 +49,7 @@
 /// Fails when no connector can be built.
 pub async fn build(keep_alive: Seconds) -> Result<Client, ClientBuilderError> {
     let connector =
-        Connector::new().limit(CONNECTIONS_MAX).keep_alive(keep_alive).lifetime(LIFETIME);
+        Connector::new().limit(CONNECTIONS_MAX).keep_alive(keep_alive).lifetime(CONNECTION_MAX_AGE);
     Client::builder()
         .connector::<()>(connector)
         .disable_timeout()
--- a/crates/daemon/src/connection/forward.rs
+++ b/crates/daemon/src/connection/forward.rs
@@ -82,24 +82,24 @@
     ///
     /// # Errors
     ///
-    /// Fails when the owner does not answer within `wait`.
+    /// Fails when the owner does not answer within `response_timeout`.
     pub async fn send(
         client: &Client,
         address: &str,
         request: &CallRequest,
-        wait: Duration,
+        response_timeout: Duration,
     ) -> Result<Self, ForwardError> {
-        let response = post(client, address, CALL_PATH, request, wait).await?;
+        let response = post(client, address, CALL_PATH, request, response_timeout).await?;
         if !response.status().is_success() {
             return Err(ForwardError::Lost);
         }
         Ok(Self { events: response.take_payload().eventsource() })
     }
 
-    /// Returns the next event, or `None` when the connection broke or was silent for `silence`.
-    pub async fn next(&mut self, silence: Duration) -> Option<CallEvent> {
+    /// Returns the next event, or `None` when the connection broke or delivered nothing for `idle_timeout`.
+    pub async fn next(&mut self, idle_timeout: Duration) -> Option<CallEvent> {
         loop {
-            let event = timeout(silence, self.events.next()).await.ok()??.ok()?;
+            let event = timeout(idle_timeout, self.events.next()).await.ok()??.ok()?;
             if event.event != KEEP_ALIVE_EVENT {
                 return serde_json::from_str(&event.data).ok();
             }
@@ -111,15 +111,15 @@
 ///
 /// # Errors
 ///
-/// Fails when the owner does not answer within `wait`.
+/// Fails when the owner does not answer within `response_timeout`.
 pub async fn send_program_request(
     client: &Client,
     address: &str,
     request: &ProgramRequest,
-    wait: Duration,
+    response_timeout: Duration,
 ) -> Result<ProgramReply, ForwardError> {
-    let response = post(client, address, PROGRAM_PATH, request, wait).await?;
-    read_json(&response, wait).await
+    let response = post(client, address, PROGRAM_PATH, request, response_timeout).await?;
+    read_json(&response, response_timeout).await
 }
 
 async fn post(
@@ -127,11 +127,11 @@
     address: &str,
     path: &str,
     message: &impl Serialize,
-    wait: Duration,
+    response_timeout: Duration,
 ) -> Result<ntex::client::ClientResponse, ForwardError> {
     let body = serde_json::to_vec(message).map_err(|_| ForwardError::NeverSent)?;
     let request = client.post(format!("http://{address}{path}")).content_type(JSON);
-    match timeout(wait, request.send_body(body)).await {
+    match timeout(response_timeout, request.send_body(body)).await {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(error)) if is_never_sent(&error) => Err(ForwardError::NeverSent),
         Ok(Err(_)) | Err(()) => Err(ForwardError::Lost),
@@ -140,9 +140,9 @@
 
 async fn read_json<T: DeserializeOwned>(
     response: &ntex::client::ClientResponse,
-    wait: Duration,
+    response_timeout: Duration,
 ) -> Result<T, ForwardError> {
-    match timeout(wait, response.body().limit(usize::MAX)).await {
+    match timeout(response_timeout, response.body().limit(usize::MAX)).await {
         Ok(Ok(bytes)) => serde_json::from_slice(&bytes).map_err(|_| ForwardError::Lost),
         _ => Err(ForwardError::Lost),
     }
--- a/crates/daemon/src/connection/peers.rs
+++ b/crates/daemon/src/connection/peers.rs
@@ -104,10 +104,10 @@
 
     async fn limit_moved(&self, team: TeamId, row_version: u64) -> RpcResult<()> {
         self.count();
-        let learn = move |control: Rc<Control>| async move {
+        let refresh = move |control: Rc<Control>| async move {
             let _ = control.node().limits().refresh(&team, row_version).await;
         };
-        self.control.run(learn).await.map_err(stopping)
+        self.control.run(refresh).await.map_err(stopping)
     }
 
     async fn config_after(&self, version: ConfigVersion) -> RpcResult<ConfigTransfer> {
@@ -157,7 +157,7 @@
             .map_err(|error| error.to_string())
     }
 
-    async fn ask<R, F>(
+    async fn call<R, F>(
         &self,
         address: &str,
         request: impl FnOnce(Rc<WsClient>) -> F,
@@ -188,12 +188,12 @@
         beat: &Heartbeat,
     ) -> Result<HeartbeatReply, PeerError> {
         let beat = beat.clone();
-        self.ask(address, |client| async move { client.heartbeat(beat).await }).await
+        self.call(address, |client| async move { client.heartbeat(beat).await }).await
     }
 
     async fn suspects(&self, address: &str, target: &str) -> Result<bool, PeerError> {
         let target = target.to_owned();
-        self.ask(address, |client| async move { client.suspects(target).await }).await
+        self.call(address, |client| async move { client.suspects(target).await }).await
     }
 
     async fn take(
@@ -203,7 +203,7 @@
         row_version: u64,
     ) -> Result<TakeReply, PeerError> {
         let team = team.clone();
-        self.ask(address, |client| async move { client.take(team, row_version).await }).await
+        self.call(address, |client| async move { client.take(team, row_version).await }).await
     }
 
     async fn limit_moved(
@@ -215,7 +215,7 @@
         let team = team.clone();
         let request =
             |client: Rc<WsClient>| async move { client.limit_moved(team, row_version).await };
-        self.ask(address, request).await
+        self.call(address, request).await
     }
 
     async fn config_after(
@@ -223,7 +223,7 @@
         address: &str,
         version: ConfigVersion,
     ) -> Result<ConfigTransfer, PeerError> {
-        self.ask(address, |client| async move { client.config_after(version).await }).await
+        self.call(address, |client| async move { client.config_after(version).await }).await
     }
 }
 
--- a/crates/daemon/src/crash.rs
+++ b/crates/daemon/src/crash.rs
@@ -3,9 +3,9 @@
 //! `DANDELIONFRONT_CRASH_POINT=STEP:ACTION` with ACTION `abort` or `stop` acts at the first time
 //! the step is reached. Release builds carry none of this.
 
-/// Step at which a process can be made to fail.
+/// Point at which the process can be made to crash or stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum CrashPoint {
     /// A non-repeatable call reached its owner.
     Arrived,
     /// Its start is recorded and nothing was sent to a backend server.
@@ -24,34 +24,34 @@
     use signal_hook::consts::SIGSTOP;
     use signal_hook::low_level::raise;
 
-    use super::Step;
+    use super::CrashPoint;
 
-    const VARIABLE: &str = "DANDELIONFRONT_CRASH_POINT";
-    const STEPS: &[(Step, &str)] = &[
-        (Step::Arrived, "arrived"),
-        (Step::Started, "started"),
-        (Step::Answered, "answered"),
-        (Step::Finished, "finished"),
+    const ENV_VARIABLE: &str = "DANDELIONFRONT_CRASH_POINT";
+    const POINT_NAMES: &[(CrashPoint, &str)] = &[
+        (CrashPoint::Arrived, "arrived"),
+        (CrashPoint::Started, "started"),
+        (CrashPoint::Answered, "answered"),
+        (CrashPoint::Finished, "finished"),
     ];
 
-    static WANTED: LazyLock<Option<(String, String)>> = LazyLock::new(|| {
-        let value = std::env::var(VARIABLE).ok()?;
-        value.split_once(':').map(|(step, action)| (step.to_owned(), action.to_owned()))
+    static CONFIGURED: LazyLock<Option<(String, String)>> = LazyLock::new(|| {
+        let value = std::env::var(ENV_VARIABLE).ok()?;
+        value.split_once(':').map(|(point, action)| (point.to_owned(), action.to_owned()))
     });
-    static REACHED: AtomicBool = AtomicBool::new(false);
+    static TRIGGERED: AtomicBool = AtomicBool::new(false);
 
-    pub fn reach(step: Step) {
-        let Some((wanted, action)) = WANTED.as_ref() else { return };
-        let name = STEPS.iter().find(|(known, _)| *known == step).map(|(_, name)| *name);
-        if name != Some(wanted) || REACHED.swap(true, Ordering::SeqCst) {
+    pub fn hit(point: CrashPoint) {
+        let Some((configured, action)) = CONFIGURED.as_ref() else { return };
+        let name = POINT_NAMES.iter().find(|(known, _)| *known == point).map(|(_, name)| *name);
+        if name != Some(configured) || TRIGGERED.swap(true, Ordering::SeqCst) {
             return;
         }
-        log::warn!("event=crash_point step={wanted} action={action}");
+        log::warn!("event=crash_point step={configured} action={action}");
         if action == "stop" {
             // Sent to this thread: a signal to the process may stop another thread first, while
             // this one goes on and leaves the step.
             if let Err(error) = raise(SIGSTOP) {
-                log::error!("event=crash_point_failed step={wanted} cause=\"{error}\"");
+                log::error!("event=crash_point_failed step={configured} cause=\"{error}\"");
             }
         } else {
             std::process::abort();
@@ -61,10 +61,10 @@
 
 /// Fails here if the process was started with this step as its crash point.
 #[cfg(debug_assertions)]
-pub fn reach(step: Step) {
-    active::reach(step);
+pub fn hit(point: CrashPoint) {
+    active::hit(point);
 }
 
 /// Does nothing in release builds.
 #[cfg(not(debug_assertions))]
-pub fn reach(_step: Step) {}
+pub fn hit(_point: CrashPoint) {}
--- a/crates/daemon/src/front/process/metrics.rs
+++ b/crates/daemon/src/front/process/metrics.rs
@@ -78,15 +78,15 @@
     pub fn new() -> Self {
         let registry = MetricRegistry::default();
         let metrics = Self {
-            refusals: registry.counters("refusals_total", "Refusals by reason", "reason"),
-            retries: registry.counters("retries_total", "Further attempts by reason", "reason"),
+            refusals: registry.counter_vec("refusals_total", "Refusals by reason", "reason"),
+            retries: registry.counter_vec("retries_total", "Further attempts by reason", "reason"),
             answers_broken_off: registry.counter("answers_broken_off_total", "Answers cut"),
             callers_gone: registry.counter("callers_gone_total", "Callers that left early"),
             backend_connections: registry
                 .counter("backend_connections_total", "Connections opened to backend servers"),
             store_calls_relayed: registry
                 .counter("store_calls_relayed_total", "Store calls made through another node"),
-            store_calls: registry.counters(
+            store_calls: registry.counter_vec(
                 "store_calls_total",
                 "Store calls by operation",
                 "operation",
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -24,9 +24,9 @@
         Some(Command::Front(args)) => front::run(&args, cli.log_level),
         None => match Settings::from_args(&cli.node) {
             Ok(settings) => process::run(settings),
-            Err(faults) => {
-                for fault in &faults {
-                    eprintln!("error: {fault}");
+            Err(errors) => {
+                for error in &errors {
+                    eprintln!("error: {error}");
                 }
                 ExitCode::from(EXIT_USAGE)
             }
--- a/crates/daemon/src/operator/config.rs
+++ b/crates/daemon/src/operator/config.rs
@@ -15,7 +15,7 @@
 use crate::process::{Control, Worker};
 
 /// Times that a change is derived anew after another operator published first.
-const RACE_RETRIES: usize = 10;
+const CONFLICT_RETRIES: usize = 10;
 /// Prefix that marks callers' keys.
 const KEY_PREFIX: &str = "dlf-";
 
@@ -153,7 +153,7 @@
     E: Fn(&mut ObjectSet) -> Result<(), String> + Send + 'static,
 {
     let work = move |control: Rc<Control>| async move {
-        let mut tries = 0;
+        let mut retries = 0;
         loop {
             let current = control
                 .follower()
@@ -169,7 +169,7 @@
                 objects,
             };
             match control.publish(&publication).await {
-                Err(PublishError::Conflict { .. }) if tries < RACE_RETRIES => tries += 1,
+                Err(PublishError::Conflict { .. }) if retries < CONFLICT_RETRIES => retries += 1,
                 result => return result.map_err(EditError::Publish),
             }
         }
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -29,13 +29,13 @@
 use super::platform::HttpPlatform;
 use crate::backend::Releaser;
 use crate::connection::peers::RpcPeers;
-use crate::crash::Step;
+use crate::crash::CrashPoint;
 use crate::request::execute;
 use crate::settings::Settings;
 use crate::version::Follower;
 
 /// Pause between two tries to register.
-const REGISTER_PAUSE: Duration = Duration::from_millis(200);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Time between two rounds of releasing engine memory.
 const RELEASE_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two updates of the gauges.
@@ -45,8 +45,8 @@
 pub struct Control {
     settings: Settings,
     platform: Platform,
-    vms: Rc<HttpPlatform>,
-    engines: Client,
+    vm_list: Rc<HttpPlatform>,
+    engine_client: Client,
     clock: SystemClock,
     metrics: Metrics,
     peers: Rc<RpcPeers>,
@@ -62,7 +62,7 @@
     pub fn new(
         settings: Settings,
         http: Rc<HttpPlatform>,
-        engines: Client,
+        engine_client: Client,
         clock: SystemClock,
         metrics: Metrics,
         config: watch::Sender<Arc<ConfigSnapshot>>,
@@ -85,8 +85,8 @@
             ),
             settings,
             platform,
-            vms: http,
-            engines,
+            vm_list: http,
+            engine_client,
             clock,
             metrics,
             peers,
@@ -179,7 +179,7 @@
     pub async fn finish(&self, ticket: &CallTicket, request: &CallRequest, end: AttemptEnd) {
         let node = self.node();
         if node.incarnation().id() == ticket.incarnation {
-            let recorded = || execute::reach(request.repeatable, Step::Finished);
+            let recorded = || execute::hit_crash_point(request.repeatable, CrashPoint::Finished);
             node.owner().finish(ticket, request, end, recorded).await;
         } else {
             ticket.feed.close(Err(Refusal::unknown(
@@ -316,7 +316,7 @@
             }));
             while let Err(error) = node.membership().register().await {
                 warn!("event=register_failed cause={error:?}");
-                ntex::time::sleep(REGISTER_PAUSE).await;
+                ntex::time::sleep(REGISTER_RETRY_DELAY).await;
             }
             let head = node.membership().head();
             futures_util::future::select(
@@ -344,7 +344,7 @@
     /// Follows the platform's list of leaving VMs.
     async fn watch_vms(self: Rc<Self>) {
         loop {
-            match self.vms.vms().await {
+            match self.vm_list.vms().await {
                 Ok(vms) => {
                     let leaving = vms.into_iter().filter(|vm| vm.state != VmState::Live);
                     self.dispatcher.set_leaving(leaving.map(|vm| vm.address).collect());
@@ -357,7 +357,7 @@
 
     /// Ends abandoned programs and frees the engine memory of ended ones.
     async fn release_memory(self: Rc<Self>) {
-        let releaser = Releaser::new(self.engines.clone(), self.settings.engine_silence);
+        let releaser = Releaser::new(self.engine_client.clone(), self.settings.engine_silence);
         loop {
             let node = self.node();
             let idle_before = self.clock.monotonic().checked_sub(self.settings.program_idle);
--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -33,11 +33,11 @@
 use crate::settings::Settings;
 
 /// Time between two checks of a planned stop's progress.
-const DRAIN_CHECK: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for which the listeners stay open after the last call, for the balancer's lag.
 const DRAIN_LINGER: Duration = Duration::from_secs(1);
 /// Longest wait for connections to close once no call is under way; idle ones are cut.
-const CLOSE_WAIT: Seconds = Seconds(2);
+const CLOSE_TIMEOUT: Seconds = Seconds(2);
 /// Time for which idle connections of callers and peers are kept.
 const KEEP_ALIVE: Seconds = Seconds(75);
 /// Longest wait for the platform's connections.
@@ -79,7 +79,7 @@
     let forward = bind(&mut settings.forward_listen)?;
     let operators = bind(&mut settings.operator_listen)?;
     let peers = bind(&mut settings.peer_listen)?;
-    settings.advertise();
+    settings.fill_advertised_addresses();
     let shared = start_control(settings, peers)?;
     let settings = &shared.settings;
     let servers = vec![
@@ -113,14 +113,14 @@
     pub async fn stop(self) {
         info!("event=stop_begun");
         self.shared.draining.store(true, Ordering::Relaxed);
-        let give_up_at = self.shared.clock.monotonic() + self.shared.settings.drain_max;
-        self.announce_leaving(give_up_at).await;
+        let deadline = self.shared.clock.monotonic() + self.shared.settings.drain_max;
+        self.announce_leaving(deadline).await;
         while !(self.is_released().await && self.shared.metrics.calls_in_flight.get() == 0) {
-            if self.shared.clock.monotonic() >= give_up_at {
+            if self.shared.clock.monotonic() >= deadline {
                 warn!("event=stop_overdue in_flight={}", self.shared.metrics.calls_in_flight.get());
                 break;
             }
-            sleep(DRAIN_CHECK).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
         sleep(DRAIN_LINGER).await;
         self.deregister().await;
@@ -130,17 +130,17 @@
         info!("event=stopped");
     }
 
-    async fn announce_leaving(&self, give_up_at: Duration) {
+    async fn announce_leaving(&self, deadline: Duration) {
         loop {
             let announce = |control: Rc<Control>| async move { control.leave().await };
             match self.shared.control.run(announce).await {
                 Ok(Ok(())) | Err(_) => return,
                 Ok(Err(error)) => warn!("event=leaving_unannounced cause={error:?}"),
             }
-            if self.shared.clock.monotonic() >= give_up_at {
+            if self.shared.clock.monotonic() >= deadline {
                 return;
             }
-            sleep(DRAIN_CHECK).await;
+            sleep(DRAIN_CHECK_INTERVAL).await;
         }
     }
 
@@ -196,7 +196,7 @@
                 Ok(client) => client,
                 Err(cause) => return error!("event=control_failed cause={cause:?}"),
             };
-            let engines = match clients::build(PLATFORM_KEEP_ALIVE).await {
+            let engine_client = match clients::build(PLATFORM_KEEP_ALIVE).await {
                 Ok(client) => client,
                 Err(cause) => return error!("event=control_failed cause={cause:?}"),
             };
@@ -210,7 +210,7 @@
                 Ok(handle) => handle,
                 Err(cause) => return error!("event=control_failed cause={cause:?}"),
             };
-            Control::new(settings, Rc::new(http), engines, clock, metrics, config_sender)
+            Control::new(settings, Rc::new(http), engine_client, clock, metrics, config_sender)
                 .serve(tasks)
                 .await;
             drop(peers);
@@ -245,7 +245,7 @@
     })
     .workers(workers)
     .disable_signals()
-    .shutdown_timeout(CLOSE_WAIT)
+    .shutdown_timeout(CLOSE_TIMEOUT)
     .config(SharedCfg::new("HTTP").add(HttpServiceConfig::new().set_keepalive(KEEP_ALIVE)))
     .listen(listener)?
     .run();
--- a/crates/daemon/src/process/metrics.rs
+++ b/crates/daemon/src/process/metrics.rs
@@ -80,8 +80,12 @@
     pub fn new() -> Self {
         let registry = MetricRegistry::default();
         let metrics = Self {
-            refusals: registry.counters("refusals_total", "Requests refused, by reason.", "kind"),
-            retries: registry.counters("retries_total", "Tries repeated, by reason.", "reason"),
+            refusals: registry.counter_vec(
+                "refusals_total",
+                "Requests refused, by reason.",
+                "kind",
+            ),
+            retries: registry.counter_vec("retries_total", "Tries repeated, by reason.", "reason"),
             calls_in_flight: registry.gauge("calls_in_flight", "Calls that callers wait for."),
             calls_answered: registry.counter("calls_answered_total", "Calls answered."),
             call_seconds: registry.histogram("call_seconds", "Arrival to complete answer."),
@@ -96,7 +100,7 @@
             peer_received_bytes: registry
                 .counter("peer_received_bytes_total", "Control bytes received."),
             peer_messages: registry.counter("peer_messages_total", "Control messages answered."),
-            platform_requests: registry.counters(
+            platform_requests: registry.counter_vec(
                 "platform_requests_total",
                 "Platform requests, by kind.",
                 "kind",
@@ -105,7 +109,7 @@
             programs: registry.gauge("programs", "Programs held."),
             registry,
         };
-        metrics.touch_labels();
+        metrics.init_labels();
         metrics
     }
 
@@ -126,7 +130,7 @@
     }
 
     /// Creates every label, so that a counter exists before its first event.
-    fn touch_labels(&self) {
+    fn init_labels(&self) {
         for kind in RefusalKind::all() {
             self.refusals.with_label_values(&[kind.label()]);
         }
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -15,9 +15,9 @@
 pub struct MetricRegistry(Registry);
 
 impl MetricRegistry {
-    /// Registers counters told apart by `label`.
+    /// Registers counters distinguished by `label`.
     #[must_use]
-    pub fn counters(&self, metric: &str, help: &str, label: &str) -> IntCounterVec {
+    pub fn counter_vec(&self, metric: &str, help: &str, label: &str) -> IntCounterVec {
         self.register(IntCounterVec::new(Opts::new(name(metric), help), &[label]))
     }
 
--- a/crates/daemon/src/request/auth.rs
+++ b/crates/daemon/src/request/auth.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 /// Team of requests without a key on routes that are open to all.
-pub const OPEN_TEAM: &str = "-open-";
+pub const ANONYMOUS_TEAM: &str = "-open-";
 
 const BEARER: &str = "Bearer ";
 
@@ -56,7 +56,7 @@
     }
 
     /// Completes once the key no longer holds.
-    pub async fn ended(&mut self) -> Refusal {
+    pub async fn invalidated(&mut self) -> Refusal {
         let Some(caller) = &self.caller else {
             return std::future::pending().await;
         };
--- a/crates/daemon/src/request/chat.rs
+++ b/crates/daemon/src/request/chat.rs
@@ -139,12 +139,12 @@
         let metrics = metrics.clone();
         async move {
             let (mut stream, first, in_flight, parts_sent) = state?;
-            let begun = clock.monotonic();
+            let started = clock.monotonic();
             let next = if let Some(event) = first {
                 event
             } else {
                 let next = stream.next().await;
-                let pause = clock.monotonic().saturating_sub(begun);
+                let pause = clock.monotonic().saturating_sub(started);
                 metrics.between_tokens_seconds.observe(pause.as_secs_f64());
                 next
             };
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -15,19 +15,19 @@
     BackendAnswer, BackendError, EngineCall, GenerationSink, HttpEngine, HttpService,
     ModelEngine as _, PlainService as _, ServiceCall,
 };
-use crate::crash::{self, Step};
+use crate::crash::{self, CrashPoint};
 use crate::process::Worker;
 use crate::process::metrics::RetryReason;
 
 /// Tries of one attempt at different backend servers.
 const TRIES_MAX: usize = 3;
 /// Time between two checks for an abandoned call.
-const ABANDON_CHECK: Duration = Duration::from_millis(100);
+const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Executes a call and records its end.
 pub async fn run(worker: Worker, ticket: CallTicket, request: CallRequest) {
     let repeatable = request.repeatable;
-    reach(repeatable, Step::Started);
+    hit_crash_point(repeatable, CrashPoint::Started);
     let end = match execute(&worker, &ticket, &request).await {
         Ok((done, backend)) => {
             AttemptEnd::Answered { answer: done.answer, usage: done.usage, backend }
@@ -35,7 +35,7 @@
         Err(BackendError::NotRun(refusal)) => AttemptEnd::NotSent(refusal),
         Err(BackendError::Lost(refusal)) => AttemptEnd::Lost(refusal),
     };
-    reach(repeatable, Step::Answered);
+    hit_crash_point(repeatable, CrashPoint::Answered);
     if let AttemptEnd::NotSent(refusal) | AttemptEnd::Lost(refusal) = &end {
         info!(
             "event=attempt_failed program={} sequence={} kind={} run={:?}",
@@ -52,9 +52,9 @@
 }
 
 /// Marks a step of a non-repeatable call.
-pub fn reach(repeatable: bool, step: Step) {
+pub fn hit_crash_point(repeatable: bool, point: CrashPoint) {
     if !repeatable {
-        crash::reach(step);
+        crash::hit(point);
     }
 }
 
@@ -143,8 +143,8 @@
     request: &CallRequest,
     placement: &Placement,
 ) -> Result<BackendAnswer, BackendError> {
-    let silence = worker.shared.settings.engine_silence;
-    let engine = HttpEngine::new(worker.clients.engines.clone(), &placement.address, silence);
+    let idle_timeout = worker.shared.settings.engine_silence;
+    let engine = HttpEngine::new(worker.clients.engines.clone(), &placement.address, idle_timeout);
     let call = EngineCall {
         request_id: format!("{}-{}-{}", ticket.program, ticket.key.sequence, ticket.key.attempt),
         program: ticket.program.clone(),
@@ -176,13 +176,13 @@
 }
 
 impl GenerationSink for FeedSink<'_> {
-    fn part(&mut self, data: &str) {
+    fn on_part(&mut self, data: &str) {
         if self.stream {
             self.ticket.feed.push(Payload::from(data));
         }
     }
 
-    fn resumed(&mut self) {
+    fn on_resumed(&mut self) {
         self.worker.shared.metrics.count_retry(RetryReason::StreamResumed);
     }
 }
@@ -191,7 +191,7 @@
 async fn wait_abandoned(worker: &Worker, ticket: &CallTicket) {
     let mut since = None;
     loop {
-        sleep(ABANDON_CHECK).await;
+        sleep(ABANDON_CHECK_INTERVAL).await;
         if ticket.feed.is_closed() {
             return;
         }
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 
 use super::answer::refuse;
-use super::auth::{OPEN_TEAM, identify, key_missing};
+use super::auth::{ANONYMOUS_TEAM, identify, key_missing};
 use super::forwarded::serve_program_request;
 use super::routes::read_body;
 use crate::connection::forward::{
@@ -28,9 +28,9 @@
 use crate::process::{Control, Worker};
 
 /// Pause between two tries to reach the owner.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for another node's reply.
-const REPLY_WAIT: Duration = Duration::from_secs(5);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Body of `POST /v1/programs`.
 #[derive(Debug, Default, Deserialize)]
@@ -104,7 +104,7 @@
     let close = ProgramRequest::Close { id: id.to_owned(), team, reason };
     match ask_owner(worker, &home, close).await? {
         ProgramReply::Closed(ended) => Ok(ended),
-        _ => Err(owner_confused()),
+        _ => Err(unexpected_owner_reply()),
     }
 }
 
@@ -120,7 +120,7 @@
 ) -> Result<ProgramView, Refusal> {
     let home = home_of_program(id).ok_or_else(Refusal::program_unknown)?;
     let ProgramReply::State(program) = ask_owner(worker, &home, request).await? else {
-        return Err(owner_confused());
+        return Err(unexpected_owner_reply());
     };
     let load = move |control: Rc<Control>| async move { view(&control, *program).await };
     worker.shared.control.run(load).await?
@@ -177,7 +177,7 @@
     };
     match ask_owner(worker, &home, ProgramRequest::Open(spec)).await? {
         ProgramReply::Opened(id) => Ok(id),
-        _ => Err(owner_confused()),
+        _ => Err(unexpected_owner_reply()),
     }
 }
 
@@ -198,7 +198,7 @@
 
 fn require_team(worker: &Worker, request: &HttpRequest) -> Result<String, Refusal> {
     let caller = identify(&worker.shared.config(), request)?.ok_or_else(key_missing)?;
-    debug_assert_ne!(caller.team, OPEN_TEAM);
+    debug_assert_ne!(caller.team, ANONYMOUS_TEAM);
     Ok(caller.team)
 }
 
@@ -209,7 +209,7 @@
     request: ProgramRequest,
 ) -> Result<ProgramReply, Refusal> {
     let process = &worker.shared;
-    let give_up_at = process.clock.monotonic() + process.settings.owner_wait;
+    let deadline = process.clock.monotonic() + process.settings.owner_wait;
     let mut run = RunState::NotRun;
     loop {
         let failure = match ask_once(worker, home, &request).await? {
@@ -225,14 +225,14 @@
             }
         };
         process.metrics.count_retry(failure);
-        if process.clock.monotonic() >= give_up_at {
+        if process.clock.monotonic() >= deadline {
             let message = "the program's owner cannot be reached; repeat the request";
             return Err(Refusal {
                 run,
                 ..Refusal::not_run(RefusalKind::OwnerUnreachable, message)
             });
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
@@ -244,13 +244,13 @@
     Ok(match worker.shared.control.locate(home).await? {
         Location::Local => Ok(serve_program_request(worker, request.clone()).await),
         Location::Remote(address) => {
-            send_program_request(&worker.clients.peers, &address, request, REPLY_WAIT).await
+            send_program_request(&worker.clients.peers, &address, request, REPLY_TIMEOUT).await
         }
         Location::Unknown => Err(ForwardError::NeverSent),
     })
 }
 
-fn owner_confused() -> Refusal {
+fn unexpected_owner_reply() -> Refusal {
     Refusal::unknown(
         RefusalKind::OwnerUnreachable,
         "the owner gave an answer of another version; finish the upgrade of all nodes and repeat",
--- a/crates/daemon/src/request/routes.rs
+++ b/crates/daemon/src/request/routes.rs
@@ -9,7 +9,7 @@
 use ntex::util::{Bytes, BytesMut};
 use ntex::web::{HttpRequest, types};
 
-use super::auth::{OPEN_TEAM, key_missing};
+use super::auth::{ANONYMOUS_TEAM, key_missing};
 use crate::consts::{IDEMPOTENCY_KEY_HEADER, PROGRAM_ID_HEADER, PROGRAM_SEQUENCE_HEADER};
 use crate::process::{Metrics, Worker};
 use crate::settings::Settings;
@@ -100,7 +100,7 @@
 ///
 /// Refuses when the team is over its rate and burst.
 pub async fn admit_team(worker: &Worker, call: &CallRequest) -> Result<(), Refusal> {
-    if call.team == OPEN_TEAM {
+    if call.team == ANONYMOUS_TEAM {
         return Ok(());
     }
     worker.shared.control.acquire(call.team.clone()).await
@@ -118,7 +118,7 @@
 ) -> Result<(&'a Route, TeamId), Refusal> {
     let team = caller.map(|caller| caller.team.as_str());
     match config.route(route, team) {
-        Ok(object) => Ok((object, team.unwrap_or(OPEN_TEAM).to_owned())),
+        Ok(object) => Ok((object, team.unwrap_or(ANONYMOUS_TEAM).to_owned())),
         Err(_) if caller.is_none() => Err(key_missing()),
         Err(refusal) => Err(refusal),
     }
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -19,16 +19,16 @@
 use super::auth::KeyGuard;
 use super::execute;
 use crate::connection::forward::{ForwardError, RemoteCall};
-use crate::crash::Step;
+use crate::crash::CrashPoint;
 use crate::process::metrics::RetryReason;
 use crate::process::{Control, Worker};
 
 /// Pause between two tries to reach the owner.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Longest wait for an owner to begin its answer: it sends a first event at once.
-const OWNER_SILENCE: Duration = Duration::from_secs(5);
+const OWNER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest time without an event from the owner, which sends a keep-alive in between.
-const EVENT_SILENCE: Duration = Duration::from_secs(5);
+const EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
 enum Source {
     /// Not connected to an owner.
@@ -49,19 +49,19 @@
     source: Source,
     /// Whether an owner that is lost may have run the call.
     may_have_run: bool,
-    give_up_at: Duration,
-    delivered: Delivered,
-    replayed: Delivered,
+    deadline: Duration,
+    delivered: StreamPrefix,
+    replayed: StreamPrefix,
 }
 
 /// Parts of a stream that went to the caller, to recognise them when the call is joined again.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Delivered {
+struct StreamPrefix {
     parts: usize,
     digest: u64,
 }
 
-impl Delivered {
+impl StreamPrefix {
     fn add(&mut self, part: &Payload) {
         let mut hasher = DefaultHasher::new();
         self.digest.hash(&mut hasher);
@@ -75,16 +75,16 @@
     /// Creates the stream of `request`; nothing is sent before the first event is asked for.
     #[must_use]
     pub fn new(worker: Worker, request: CallRequest, guard: KeyGuard) -> Self {
-        let give_up_at = worker.shared.clock.monotonic() + worker.shared.settings.owner_wait;
+        let deadline = worker.shared.clock.monotonic() + worker.shared.settings.owner_wait;
         Self {
             worker,
             request,
             guard,
             source: Source::Detached,
             may_have_run: false,
-            give_up_at,
-            delivered: Delivered::default(),
-            replayed: Delivered::default(),
+            deadline,
+            delivered: StreamPrefix::default(),
+            replayed: StreamPrefix::default(),
         }
     }
 
@@ -104,9 +104,9 @@
     pub async fn next(&mut self) -> CallEvent {
         let mut guard = self.guard.clone();
         let event = {
-            let ended = std::pin::pin!(guard.ended());
-            let event = std::pin::pin!(self.next_unguarded());
-            match select(ended, event).await {
+            let invalidated = std::pin::pin!(guard.invalidated());
+            let event = std::pin::pin!(self.next_ignoring_key());
+            match select(invalidated, event).await {
                 Either::Left((refusal, _)) => CallEvent::Refused(refusal),
                 Either::Right((event, _)) => event,
             }
@@ -132,7 +132,7 @@
         }
     }
 
-    async fn next_unguarded(&mut self) -> CallEvent {
+    async fn next_ignoring_key(&mut self) -> CallEvent {
         loop {
             let event = match &mut self.source {
                 Source::Detached => match self.attach().await {
@@ -140,7 +140,7 @@
                     Err(refusal) => return CallEvent::Refused(refusal),
                 },
                 Source::Local(reader) => Some(reader.next().await),
-                Source::Remote(call) => call.next(EVENT_SILENCE).await,
+                Source::Remote(call) => call.next(EVENT_TIMEOUT).await,
                 Source::Ended => return CallEvent::Refused(Refusal::outcome_unknown()),
             };
             match event {
@@ -193,9 +193,9 @@
         self.worker.shared.metrics.count_retry(reason);
         debug!("event=call_detached program={} reason={reason:?}", self.request.program);
         self.source = Source::Detached;
-        self.replayed = Delivered::default();
+        self.replayed = StreamPrefix::default();
         let settings = &self.worker.shared.settings;
-        self.give_up_at = self.worker.shared.clock.monotonic() + settings.owner_wait;
+        self.deadline = self.worker.shared.clock.monotonic() + settings.owner_wait;
     }
 
     async fn attach(&mut self) -> Result<(), Refusal> {
@@ -216,10 +216,10 @@
                 Location::Unknown => RetryReason::OwnerUnreachable,
             };
             self.worker.shared.metrics.count_retry(failure);
-            if self.worker.shared.clock.monotonic() >= self.give_up_at {
+            if self.worker.shared.clock.monotonic() >= self.deadline {
                 return Err(self.owner_unreachable());
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -230,7 +230,7 @@
 
     async fn attach_remote(&mut self, address: &str) -> Result<(), RetryReason> {
         let client = &self.worker.clients.peers;
-        match RemoteCall::send(client, address, &self.request, OWNER_SILENCE).await {
+        match RemoteCall::send(client, address, &self.request, OWNER_TIMEOUT).await {
             Ok(call) => {
                 self.source = Source::Remote(Box::new(call));
                 Ok(())
@@ -268,7 +268,7 @@
     request: CallRequest,
     reply: oneshot::Sender<Result<FeedReader, Refusal>>,
 ) {
-    execute::reach(request.repeatable, Step::Arrived);
+    execute::hit_crash_point(request.repeatable, CrashPoint::Arrived);
     let result = match worker.shared.control.admit(request.clone()).await {
         Ok(Admission::Run(ticket)) => {
             let _ = reply.send(Ok(ticket.feed.reader()));
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -17,7 +17,7 @@
 /// A setting that cannot be used.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("--{flag} is {value}; {remedy}"))]
-pub struct SettingFault {
+pub struct SettingError {
     /// Flag without dashes.
     pub flag: &'static str,
     /// Value as given.
@@ -71,13 +71,13 @@
     /// # Errors
     ///
     /// Returns every fault, each naming its flag and the remedy.
-    pub fn from_args(args: &NodeArgs) -> Result<Self, Vec<SettingFault>> {
-        let faults = check(args);
-        if faults.is_empty() { Ok(Self::build(args)) } else { Err(faults) }
+    pub fn from_args(args: &NodeArgs) -> Result<Self, Vec<SettingError>> {
+        let errors = check(args);
+        if errors.is_empty() { Ok(Self::build(args)) } else { Err(errors) }
     }
 
     /// Fills in the advertised addresses that are not set, once the listeners are bound.
-    pub fn advertise(&mut self) {
+    pub fn fill_advertised_addresses(&mut self) {
         if self.identity.forward_address.is_empty() {
             self.identity.forward_address = self.forward_listen.to_string();
         }
@@ -144,12 +144,12 @@
     }
 }
 
-fn check(args: &NodeArgs) -> Vec<SettingFault> {
-    let mut faults = Vec::new();
+fn check(args: &NodeArgs) -> Vec<SettingError> {
+    let mut errors = Vec::new();
     let mut range = |flag, value: u64, allowed: RangeInclusive<u64>| {
         if !allowed.contains(&value) {
             let remedy = format!("set a number from {} to {}", allowed.start(), allowed.end());
-            faults.push(fault(flag, value, remedy));
+            errors.push(setting_error(flag, value, remedy));
         }
     };
     range("workers", args.workers as u64, 1..=64);
@@ -177,15 +177,15 @@
     range("drain-max-s", args.drain_max_s, 1..=3_600);
     if args.dispatch_window_ms <= args.start_commit_wait_ms {
         let remedy = "set it above --start-commit-wait-ms, so that a committed start can be sent";
-        faults.push(fault("dispatch-window-ms", args.dispatch_window_ms, remedy));
+        errors.push(setting_error("dispatch-window-ms", args.dispatch_window_ms, remedy));
     }
     if args.suspect_ms < args.heartbeat_ms * 3 {
         let remedy =
             "set it to at least three times --heartbeat-ms, so that one loss is no failure";
-        faults.push(fault("suspect-ms", args.suspect_ms, remedy));
+        errors.push(setting_error("suspect-ms", args.suspect_ms, remedy));
     }
     if !args.platform.starts_with("http://") {
-        faults.push(fault(
+        errors.push(setting_error(
             "platform",
             &args.platform,
             "set a base URL such as http://10.0.0.2:9000",
@@ -194,12 +194,16 @@
     for (flag, name) in [("region", &args.region), ("zone", &args.zone)] {
         if name.is_empty() || !name.chars().all(|char| char.is_ascii_alphanumeric() || char == '-')
         {
-            faults.push(fault(flag, name, "set a name of letters, digits and dashes"));
+            errors.push(setting_error(flag, name, "set a name of letters, digits and dashes"));
         }
     }
-    faults
+    errors
 }
 
-fn fault(flag: &'static str, value: impl Display, remedy: impl Into<String>) -> SettingFault {
-    SettingFault { flag, value: value.to_string(), remedy: remedy.into() }
+fn setting_error(
+    flag: &'static str,
+    value: impl Display,
+    remedy: impl Into<String>,
+) -> SettingError {
+    SettingError { flag, value: value.to_string(), remedy: remedy.into() }
 }
--- a/crates/daemon/src/trial.rs
+++ b/crates/daemon/src/trial.rs
@@ -23,10 +23,10 @@
 const CHECKOUT_KEY: &str = "checkout-1";
 /// Model engines of the trial.
 const ENGINES: usize = 2;
-/// Longest wait for the node to serve, in checks of [`READY_CHECK`].
-const READY_CHECKS: u32 = 200;
+/// Longest wait for the node to serve, in checks of [`READY_CHECK_INTERVAL`].
+const READY_CHECKS_MAX: u32 = 200;
 /// Time between two checks.
-const READY_CHECK: Millis = Millis(25);
+const READY_CHECK_INTERVAL: Millis = Millis(25);
 /// Port of callers while the trial serves.
 const SERVE_PORT: u16 = 8080;
 
@@ -132,12 +132,12 @@
     }
 
     async fn wait_ready(&self) -> Result<(), TrialError> {
-        for _ in 0..READY_CHECKS {
+        for _ in 0..READY_CHECKS_MAX {
             let request = self.client.get(format!("http://{}/v1/status", self.operator()));
             if send(request, "status", &Value::Null).await?["settled"] == true {
                 return Ok(());
             }
-            sleep(READY_CHECK).await;
+            sleep(READY_CHECK_INTERVAL).await;
         }
         WrongSnafu { detail: "the node did not settle" }.fail()
     }
@@ -248,8 +248,8 @@
         "--shard-count",
         "16",
     ];
-    Settings::from_args(&Cli::parse_from(args).node).map_err(|faults| TrialError::Wrong {
-        detail: faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
+    Settings::from_args(&Cli::parse_from(args).node).map_err(|errors| TrialError::Wrong {
+        detail: errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
     })
 }
 
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -23,9 +23,9 @@
 use crate::process::Metrics;
 
 /// Versions whose changes are kept for peers.
-const RECENT_MAX: usize = 64;
+const RECENT_VERSIONS_MAX: usize = 64;
 /// Pause after a version that could not be read.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Holds the version in force and adopts newer ones.
 pub struct Follower {
@@ -92,12 +92,12 @@
             }
             let behind = self.current().version() < newest || !from_peer;
             if behind {
-                ntex::time::sleep(RETRY_PAUSE).await;
+                ntex::time::sleep(RETRY_DELAY).await;
                 continue;
             }
             let changed = std::pin::pin!(head.changed());
-            let told = std::pin::pin!(self.peer_has_newer.notified());
-            select(changed, told).await;
+            let notified = std::pin::pin!(self.peer_has_newer.notified());
+            select(changed, notified).await;
         }
     }
 
@@ -154,7 +154,7 @@
                         }
                     }
                     self.adopt(row.version, objects.clone());
-                    self.remember(row);
+                    self.cache_recent(row);
                 }
                 true
             }
@@ -162,7 +162,7 @@
     }
 
     /// Keeps a version's changes for peers that are behind, if they are small.
-    fn remember(&self, row: VersionRow) {
+    fn cache_recent(&self, row: VersionRow) {
         let mut recent = self.recent.borrow_mut();
         if !matches!(row.changes, Body::Inline(_)) {
             recent.clear();
@@ -172,7 +172,7 @@
             recent.clear();
         }
         recent.push_back(row);
-        if recent.len() > RECENT_MAX {
+        if recent.len() > RECENT_VERSIONS_MAX {
             recent.pop_front();
         }
     }
@@ -195,7 +195,7 @@
         let published = Published::from(&row);
         self.adopt(row.version, publication.objects.clone());
         // Peers get the changes of this version, not the whole set.
-        self.remember(row);
+        self.cache_recent(row);
         Ok(published)
     }
 
@@ -208,7 +208,7 @@
         let (version, objects, rows) = self.store.catch_up(from, newest).await?;
         self.adopt(version, objects);
         for row in rows {
-            self.remember(row);
+            self.cache_recent(row);
         }
         Ok(())
     }
