--- a/crates/daemon/src/backend/chat.rs
+++ b/crates/daemon/src/backend/chat.rs
@@ -1,4 +1,4 @@
-//! Bodies of chat completions, as `OpenAI` clients write and read them.
+//! Request and response bodies of chat completions in the `OpenAI` format.
 
 use dandelionfront_coordination::Usage;
 use serde::{Deserialize, Serialize};
@@ -6,20 +6,20 @@
 use serde_json::{Map, Value, json};
 use snafu::Snafu;
 
-/// A chat completion request; fields that matter are typed, others pass through.
+/// Chat completion request; fields that the node does not interpret are passed through.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatBody {
-    /// Route named by the caller, or model towards the engine.
+    /// Route in the caller's request, model in the request to the engine.
     pub model: String,
-    /// Messages as written by the caller.
+    /// Messages, unparsed.
     pub messages: Vec<Box<RawValue>>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
     /// Newer name of `max_tokens`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_completion_tokens: Option<u64>,
-    /// Whether the caller reads a stream.
+    /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
     /// Number of completions.
@@ -30,13 +30,13 @@
     pub rest: Map<String, Value>,
 }
 
-/// Why a chat body cannot be used.
+/// Reason to reject a chat completion request.
 #[derive(Debug, Snafu)]
 pub enum ChatBodyError {
     /// The body is not a chat completion request.
     #[snafu(display("the body is no chat completion request ({source}); see the README"))]
     Malformed {
-        /// Where parsing failed.
+        /// Error of the parser.
         source: serde_json::Error,
     },
     /// A field has a value that is not supported.
@@ -50,11 +50,11 @@
 }
 
 impl ChatBody {
-    /// Parses and checks a body.
+    /// Parses and validates a body.
     ///
     /// # Errors
     ///
-    /// Fails when the body is malformed or asks for something unsupported.
+    /// Fails when the body is malformed or uses an unsupported value.
     pub fn parse(bytes: &[u8]) -> Result<Self, ChatBodyError> {
         let body: Self =
             serde_json::from_slice(bytes).map_err(|source| ChatBodyError::Malformed { source })?;
@@ -73,19 +73,19 @@
         Ok(body)
     }
 
-    /// Returns the completion bound that the caller asked for.
+    /// Returns the maximum completion length that the caller asked for.
     #[must_use]
     pub fn completion_limit(&self) -> Option<u64> {
         self.max_completion_tokens.or(self.max_tokens)
     }
 
-    /// Returns an upper bound of the prompt: a token is at least one byte of text.
+    /// Returns an upper bound of the prompt length: each token is at least one byte of text.
     #[must_use]
     pub fn prompt_tokens_max(&self) -> u64 {
         self.messages.iter().map(|message| message.get().len() as u64).sum()
     }
 
-    /// Returns the body to send to an engine.
+    /// Returns the request body for an engine, which always streams and reports usage.
     #[must_use]
     pub fn for_engine(mut self, model: &str, max_tokens: u64) -> Vec<u8> {
         model.clone_into(&mut self.model);
@@ -97,7 +97,7 @@
     }
 }
 
-/// Part of a streamed completion.
+/// Chunk of a streamed completion.
 #[derive(Debug, Clone, Deserialize)]
 struct Chunk {
     id: String,
@@ -134,7 +134,7 @@
     total_tokens: u64,
 }
 
-/// Assembles the parts of a stream into a whole completion.
+/// Assembles the chunks of a stream into a complete chat completion.
 #[derive(Debug, Default)]
 pub struct CompletionAssembler {
     id: String,
@@ -146,11 +146,11 @@
 }
 
 impl CompletionAssembler {
-    /// Adds a part.
+    /// Adds a chunk.
     ///
     /// # Errors
     ///
-    /// Fails when the part is no completion chunk.
+    /// Fails when `data` is not a completion chunk.
     pub fn add(&mut self, data: &str) -> Result<(), serde_json::Error> {
         let chunk: Chunk = serde_json::from_str(data)?;
         self.id = chunk.id;
@@ -166,20 +166,20 @@
         Ok(())
     }
 
-    /// Returns whether the engine said why it stopped.
+    /// Returns whether the engine sent a finish reason.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.finish_reason.is_some()
     }
 
-    /// Returns the tokens spent, if the engine told.
+    /// Returns the token usage, if the engine reported it.
     #[must_use]
     pub fn usage(&self) -> Option<Usage> {
         let WireUsage { prompt_tokens, completion_tokens, .. } = self.usage?;
         Some(Usage { prompt_tokens, completion_tokens })
     }
 
-    /// Returns the whole completion under the route's name.
+    /// Returns the complete chat completion as JSON, with the route as its model.
     #[must_use]
     pub fn completion(&self, route: &str) -> Vec<u8> {
         let mut message = json!({ "role": "assistant", "content": self.content });
@@ -198,7 +198,7 @@
     }
 }
 
-/// Merges a partial tool call into the one with the same index.
+/// Appends a chunk of a tool call to the call with the same index.
 fn merge_tool_call(calls: &mut Vec<Value>, mut part: Value) {
     let index = part["index"].as_u64().and_then(|index| usize::try_from(index).ok()).unwrap_or(0);
     if let Some(fields) = part.as_object_mut() {
@@ -214,7 +214,7 @@
     }
 }
 
-/// Returns a recorded whole completion as the only part of a stream.
+/// Converts a complete chat completion to the only chunk of a stream.
 #[must_use]
 pub fn single_chunk(whole: &[u8]) -> Vec<u8> {
     let Ok(mut completion) = serde_json::from_slice::<Value>(whole) else {
--- a/crates/daemon/src/backend/engine.rs
+++ b/crates/daemon/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Adapter to model engines.
+//! HTTP client for model engines.
 
 use std::time::Duration;
 
@@ -14,43 +14,43 @@
 use crate::connection::clients::is_never_sent;
 use crate::consts::{DEADLINE_HEADER, JSON, PRIORITY_HEADER, PROGRAM_ID_HEADER, REQUEST_ID_HEADER};
 
-/// Last event of a stream.
+/// Data of the last event of a stream.
 const DONE: &str = "[DONE]";
-/// Times that a cut or silent stream is resumed.
+/// Maximum number of times that an interrupted or idle stream is resumed.
 const RESUMES_MAX: u32 = 3;
 
 /// A completion to generate.
 #[derive(Debug, Clone)]
 pub struct EngineCall {
-    /// Id of the request, for cancel and resume.
+    /// Identifier of the request, needed to resume or cancel it.
     pub request_id: String,
-    /// Program that the request belongs to, for the engine's cache.
+    /// Program that the request belongs to; the engine uses it for its cache.
     pub program: String,
-    /// Priority; lower goes first.
+    /// Scheduling priority; lower values run first.
     pub priority: u32,
-    /// Body to send.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Route's name, shown in the answer.
+    /// Route, which the answer names as its model.
     pub route: String,
 }
 
 /// Receives the progress of a completion.
 pub trait GenerationSink {
-    /// Takes the next part of the stream.
-    fn on_part(&mut self, data: &str);
+    /// Called with the data of each chunk of the stream.
+    fn on_chunk(&mut self, data: &str);
 
-    /// Learns that the stream was cut or silent and is being resumed.
+    /// Called before an interrupted or idle stream is resumed.
     fn on_resumed(&mut self);
 }
 
-/// What an engine does for a call.
+/// Operations of a model engine.
 #[async_trait(?Send)]
 pub trait ModelEngine {
-    /// Generates a completion; `sink` gets each part of the stream.
+    /// Generates a completion; `sink` receives each chunk of the stream.
     ///
     /// # Errors
     ///
-    /// Fails when the engine cannot be reached, refuses, or its stream cannot be completed.
+    /// Fails when the engine cannot be reached, rejects the request or does not complete the stream.
     async fn generate(
         &self,
         call: &EngineCall,
@@ -60,11 +60,11 @@
     /// Cancels a request.
     async fn cancel(&self, request_id: &str);
 
-    /// Frees the memory held for a program; returns whether the engine confirmed.
+    /// Releases the memory that the engine holds for a program; returns whether it confirmed.
     async fn release(&self, program: &str) -> bool;
 }
 
-/// An engine at one address.
+/// Model engine that is called over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     client: Client,
@@ -73,7 +73,7 @@
 }
 
 impl HttpEngine {
-    /// Creates an adapter; `idle_timeout` bounds the pause between two parts of a stream.
+    /// Creates a client; `idle_timeout` limits the wait for a response and for each chunk.
     #[must_use]
     pub fn new(client: Client, address: &str, idle_timeout: Duration) -> Self {
         Self { client, base_url: format!("http://{address}"), idle_timeout }
@@ -103,8 +103,8 @@
         response.status().is_success().then_some(response)
     }
 
-    /// Reads parts until the stream ends; returns whether it ended as announced.
-    async fn read_parts(
+    /// Reads chunks until the stream ends; returns whether it ended with [`DONE`].
+    async fn read_chunks(
         &self,
         response: &ClientResponse,
         state: &mut StreamState<'_>,
@@ -113,7 +113,7 @@
         loop {
             match timeout(self.idle_timeout, events.next()).await {
                 Ok(Some(Ok(event))) if event.data == DONE => return Ok(true),
-                Ok(Some(Ok(event))) => state.add_part(&event.data)?,
+                Ok(Some(Ok(event))) => state.add_chunk(&event.data)?,
                 Ok(Some(Err(_)) | None) | Err(()) => return Ok(false),
             }
         }
@@ -122,15 +122,15 @@
 
 struct StreamState<'a> {
     assembler: CompletionAssembler,
-    parts: usize,
+    chunks: usize,
     sink: &'a mut dyn GenerationSink,
 }
 
 impl StreamState<'_> {
-    fn add_part(&mut self, data: &str) -> Result<(), BackendError> {
+    fn add_chunk(&mut self, data: &str) -> Result<(), BackendError> {
         self.assembler.add(data).map_err(|_| lost("sent a part that is no completion chunk"))?;
-        self.parts += 1;
-        self.sink.on_part(data);
+        self.chunks += 1;
+        self.sink.on_chunk(data);
         Ok(())
     }
 }
@@ -143,16 +143,16 @@
         sink: &mut dyn GenerationSink,
     ) -> Result<BackendAnswer, BackendError> {
         let mut response = self.start(call).await?;
-        let mut state = StreamState { assembler: CompletionAssembler::default(), parts: 0, sink };
+        let mut state = StreamState { assembler: CompletionAssembler::default(), chunks: 0, sink };
         let mut resumes = 0;
-        while !self.read_parts(&response, &mut state).await? {
+        while !self.read_chunks(&response, &mut state).await? {
             resumes += 1;
             if resumes > RESUMES_MAX {
                 return Err(lost("cut the stream too often"));
             }
             state.sink.on_resumed();
             response =
-                self.resume(call, state.parts).await.ok_or_else(|| lost("cut the stream"))?;
+                self.resume(call, state.chunks).await.ok_or_else(|| lost("cut the stream"))?;
         }
         let usage = state.assembler.usage();
         let (true, Some(usage)) = (state.assembler.is_complete(), usage) else {
--- a/crates/daemon/src/backend/mod.rs
+++ b/crates/daemon/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Adapters to model engines and plain services.
+//! HTTP clients for model engines and plain services.
 
 mod chat;
 mod engine;
@@ -15,17 +15,17 @@
 /// Complete answer of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendAnswer {
-    /// Answer for the caller.
+    /// Answer to return to the caller.
     pub answer: Answer,
-    /// Tokens spent.
+    /// Token usage of the call.
     pub usage: Usage,
 }
 
-/// Why a backend server gave no complete answer.
+/// Failure of a backend server to return a complete answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackendError {
-    /// Nothing was sent, or the backend server refused without running the request.
+    /// The request was not sent, or the backend server rejected it without running it.
     NotRun(Refusal),
-    /// The request was sent and its outcome is not known.
+    /// The request may have been sent, and its outcome is unknown.
     Lost(Refusal),
 }
--- a/crates/daemon/src/backend/release.rs
+++ b/crates/daemon/src/backend/release.rs
@@ -1,4 +1,4 @@
-//! Frees engine memory of ended programs.
+//! Release of the engine memory of ended programs.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use super::engine::{HttpEngine, ModelEngine as _};
 
-/// Programs released at the same time.
+/// Maximum number of programs that are released concurrently.
 const BATCH_MAX_PROGRAMS: usize = 64;
 
-/// Asks engines to free the memory of ended programs.
+/// Asks engines to release the memory of ended programs.
 #[derive(Debug, Clone)]
 pub struct Releaser {
     client: Client,
@@ -21,13 +21,13 @@
 }
 
 impl Releaser {
-    /// Creates a releaser; `timeout` bounds each request.
+    /// Creates a releaser; `timeout` applies to each request.
     #[must_use]
     pub fn new(client: Client, timeout: Duration) -> Self {
         Self { client, timeout }
     }
 
-    /// Releases programs; returns those that every engine concerned has confirmed.
+    /// Releases programs; returns those for which all engines concerned confirmed the release.
     pub async fn release(
         &self,
         config: &ConfigSnapshot,
--- a/crates/daemon/src/backend/service.rs
+++ b/crates/daemon/src/backend/service.rs
@@ -1,4 +1,4 @@
-//! Adapter to plain services.
+//! HTTP client for plain services.
 
 use std::time::Duration;
 
@@ -25,26 +25,26 @@
     pub content_type: String,
     /// Body.
     pub body: Vec<u8>,
-    /// Key under which the service may recognise a repeat.
+    /// Idempotency key, by which the service can detect a repeated call.
     pub idempotency_key: String,
-    /// Program of the call.
+    /// Program that the call belongs to.
     pub program: String,
-    /// Number of the shard's claim, so that a service can refuse an outdated sender.
+    /// Fencing token of the shard's owner, by which the service can reject calls of earlier owners.
     pub fencing_number: u64,
 }
 
-/// What a plain service does for a call.
+/// Operations of a plain service.
 #[async_trait(?Send)]
 pub trait PlainService {
     /// Sends the call once.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached or its answer does not arrive whole.
+    /// Fails when the service cannot be reached or does not return a complete answer.
     async fn call(&self, call: &ServiceCall) -> Result<BackendAnswer, BackendError>;
 }
 
-/// A plain service at one address.
+/// Plain service that is called over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpService {
     client: Client,
@@ -53,7 +53,7 @@
 }
 
 impl HttpService {
-    /// Creates an adapter; `timeout` bounds the whole call.
+    /// Creates a client; `timeout` applies to the entire call.
     #[must_use]
     pub fn new(client: Client, address: &str, timeout: Duration) -> Self {
         Self { client, base_url: format!("http://{address}"), timeout }
--- a/crates/daemon/src/connection/clients.rs
+++ b/crates/daemon/src/connection/clients.rs
@@ -1,4 +1,4 @@
-//! HTTP clients of one traffic thread.
+//! HTTP clients of one worker thread.
 
 use std::io;
 
@@ -8,22 +8,22 @@
 };
 use ntex::time::{Millis, Seconds};
 
-/// Time for which an idle connection is kept.
+/// Time after which an idle connection is closed.
 const KEEP_ALIVE: Seconds = Seconds(15);
-/// Age at which a connection is replaced.
+/// Age at which a connection is closed.
 const CONNECTION_MAX_AGE: Seconds = Seconds(120);
-/// Connections of one client to all addresses together; the client default is 8.
+/// Connection limit of one client over all addresses; the default of 8 is too low.
 const CONNECTIONS_MAX: usize = 16_384;
 
-/// HTTP clients, separate for peers and backend servers.
+/// Separate HTTP clients for peers, model engines and plain services.
 #[derive(Debug, Clone)]
 pub struct Clients {
     /// Client for other nodes.
     pub peers: Client,
-    /// Client for model engines; reuses connections.
+    /// Client for model engines, which reuses connections.
     pub engines: Client,
-    /// Client for plain services; a new connection for each call, because a call on a reused one
-    /// that fails cannot be told from a call that ran.
+    /// Client for plain services, which opens a new connection for each call: if a call fails on a
+    /// reused connection, it is unknown whether the service ran it.
     pub services: Client,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Creates a client without timeouts of its own: each caller bounds its waits.
+/// Creates a client without built-in timeouts; the code that sends a request sets the timeout.
 ///
 /// # Errors
 ///
@@ -60,7 +60,7 @@
         .await
 }
 
-/// Returns whether `error` proves that no byte of the request was written.
+/// Returns whether `error` proves that no byte of the request was sent.
 #[must_use]
 pub fn is_never_sent(error: &ClientError) -> bool {
     match error {
--- a/crates/daemon/src/connection/forward.rs
+++ b/crates/daemon/src/connection/forward.rs
@@ -22,57 +22,57 @@
 /// Path of forwarded program requests.
 pub const PROGRAM_PATH: &str = "/v1/forward/programs";
 
-/// Type of the event that shows that a call still runs.
+/// Type of the keep-alive events that are sent while a call produces no output.
 pub const KEEP_ALIVE_EVENT: &str = "keep-alive";
 
-/// A program request as sent to the owner.
+/// Program request that is forwarded to the owner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProgramRequest {
-    /// Opens a program on the parent's shard.
+    /// Opens a program, on its parent's shard if it has a parent.
     Open(ProgramSpec),
-    /// Reads state and history.
+    /// Reads the state and history of a program.
     Get {
         /// Program.
         id: ProgramId,
-        /// Team that asks; `None` for an operator.
+        /// Team of the requester; `None` for an operator.
         team: Option<String>,
     },
     /// Ends a program.
     Close {
         /// Program.
         id: ProgramId,
-        /// Team that asks; `None` for an operator.
+        /// Team of the requester; `None` for an operator.
         team: Option<String>,
-        /// Why.
+        /// Reason for the end.
         reason: CloseReason,
     },
 }
 
-/// Answer to a [`ProgramRequest`].
+/// Reply to a [`ProgramRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ProgramReply {
     /// The program was opened.
     Opened(ProgramId),
-    /// State and history.
+    /// The state and history of the program.
     State(Box<Program>),
-    /// These programs ended.
+    /// The programs that ended, including sub-agents.
     Closed(Vec<ProgramId>),
-    /// No.
+    /// The request was refused.
     Refused(Refusal),
 }
 
-/// Why nothing came back from another node.
+/// Failure of a request to another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardError {
     /// The connection could not be opened; nothing was sent.
     NeverSent,
-    /// The request was sent and the answer did not arrive.
+    /// The request may have been sent, but no valid response arrived.
     Lost,
 }
 
-/// Events of a forwarded call.
+/// Event stream of a call that was forwarded to another node.
 pub struct RemoteCall {
     events: EventStream<Payload>,
 }
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the owner does not answer within `response_timeout`.
+    /// Fails when the owner does not respond within `response_timeout`.
     pub async fn send(
         client: &Client,
         address: &str,
@@ -96,7 +96,7 @@
         Ok(Self { events: response.take_payload().eventsource() })
     }
 
-    /// Returns the next event, or `None` when the connection broke or delivered nothing for `idle_timeout`.
+    /// Returns the next event, or `None` if the connection fails or is idle for `idle_timeout`.
     pub async fn next(&mut self, idle_timeout: Duration) -> Option<CallEvent> {
         loop {
             let event = timeout(idle_timeout, self.events.next()).await.ok()??.ok()?;
@@ -111,7 +111,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the owner does not answer within `response_timeout`.
+/// Fails when the owner does not respond within `response_timeout`.
 pub async fn send_program_request(
     client: &Client,
     address: &str,
--- a/crates/daemon/src/connection/mod.rs
+++ b/crates/daemon/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! Links to other nodes and the HTTP clients behind them.
+//! Connections to other nodes, and the HTTP clients for all outgoing requests.
 
 pub mod clients;
 pub mod forward;
--- a/crates/daemon/src/connection/peers.rs
+++ b/crates/daemon/src/connection/peers.rs
@@ -1,4 +1,4 @@
-//! Control messages between nodes over JSON-RPC.
+//! Control messages between nodes, as JSON-RPC over WebSocket.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,38 +25,38 @@
 
 use crate::process::{Control, ControlHandle, Metrics};
 
-/// Longest wait for an answer of a peer.
+/// Timeout of a request to a peer, including the connection setup.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Error code of a node that is stopping.
+/// JSON-RPC error code of a node that is stopping.
 const STOPPING_CODE: i32 = -32_000;
-/// Largest message between peers.
+/// Maximum size of a response from a peer.
 const MESSAGE_MAX_BYTES: u32 = 64 * 1024 * 1024;
 
-/// Control messages that a node answers.
+/// RPC interface of a node for control messages.
 #[rpc(server, client)]
 pub trait PeerRpc {
-    /// Takes a sign of life.
+    /// Receives a heartbeat of the sender.
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, beat: Heartbeat) -> RpcResult<HeartbeatReply>;
 
-    /// Tells whether this node suspects a member.
+    /// Returns whether this node suspects a member of having failed.
     #[method(name = "suspects")]
     async fn suspects(&self, target: IncarnationId) -> RpcResult<bool>;
 
-    /// Takes tokens from this node's share.
+    /// Takes a token from this node's share of a team's limit.
     #[method(name = "take")]
     async fn take(&self, team: TeamId, row_version: u64) -> RpcResult<TakeReply>;
 
-    /// Learns that this node was given a share.
+    /// Notifies this node that it received a share of a team's limit.
     #[method(name = "limit_moved")]
     async fn limit_moved(&self, team: TeamId, row_version: u64) -> RpcResult<()>;
 
-    /// Hands the configuration after a version over.
+    /// Returns the configuration updates after a version.
     #[method(name = "config_after")]
     async fn config_after(&self, version: ConfigVersion) -> RpcResult<ConfigTransfer>;
 }
 
-/// Answers control messages on the control thread.
+/// Handles control messages on the control thread.
 #[derive(Debug, Clone)]
 pub struct PeerService {
     control: ControlHandle,
@@ -64,7 +64,7 @@
 }
 
 impl PeerService {
-    /// Creates a service that asks the control thread.
+    /// Creates a service that runs its handlers on the control thread.
     #[must_use]
     pub fn new(control: ControlHandle, metrics: Metrics) -> Self {
         Self { control, metrics }
@@ -118,14 +118,14 @@
     }
 }
 
-/// Connections to peers; a connection that fails or goes silent is replaced at its next use.
+/// Cached connections to peers; after a failure or timeout, the next request opens a new one.
 pub struct RpcPeers {
     metrics: Metrics,
     clients: RefCell<HashMap<String, Rc<WsClient>>>,
 }
 
 impl RpcPeers {
-    /// Creates an empty set of connections.
+    /// Creates an empty connection cache.
     #[must_use]
     pub fn new(metrics: Metrics) -> Self {
         Self { metrics, clients: RefCell::default() }
@@ -227,7 +227,7 @@
     }
 }
 
-/// A connection that counts its bytes.
+/// TCP connection that counts sent and received bytes.
 struct CountedStream {
     inner: TcpStream,
     sent: IntCounter,
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -1,4 +1,4 @@
-//! State of the control thread: the node, the configuration, the dispatcher.
+//! State of the control thread: the node, the configuration and the dispatcher.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -34,14 +34,14 @@
 use crate::settings::Settings;
 use crate::version::Follower;
 
-/// Pause between two tries to register.
+/// Delay between attempts to register the node.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Time between two rounds of releasing engine memory.
+/// Interval between runs that release engine memory.
 const RELEASE_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two updates of the gauges.
+/// Interval between updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// State of the control thread.
+/// State that only the control thread accesses.
 pub struct Control {
     settings: Settings,
     platform: Platform,
@@ -57,7 +57,7 @@
 }
 
 impl Control {
-    /// Creates the state; nothing runs before [`Control::serve`].
+    /// Creates the state without starting any task; see [`Control::serve`].
     #[must_use]
     pub fn new(
         settings: Settings,
@@ -114,11 +114,12 @@
         &self.follower
     }
 
-    /// Begins the planned stop of the node; a fenced node gets no new incarnation any more.
+    /// Starts the graceful shutdown of the node; from then on, a fenced node is not replaced by a
+    /// new incarnation.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be reached; calling again is safe.
+    /// Fails when the platform cannot be reached; the call is idempotent and can be retried.
     pub async fn leave(&self) -> PlatformResult<()> {
         self.leaving.set(true);
         self.node().leave().await
@@ -130,7 +131,8 @@
         &self.platform
     }
 
-    /// Serves tasks of other threads and runs the node, as a new incarnation after each fencing.
+    /// Runs the tasks of other threads and the node, which restarts as a new incarnation when it is
+    /// fenced.
     pub async fn serve(self: Rc<Self>, mut tasks: mpsc::UnboundedReceiver<ControlTask>) {
         ntex::rt::spawn(Rc::clone(&self).run_incarnations());
         ntex::rt::spawn(Rc::clone(&self).update_gauges());
@@ -141,11 +143,11 @@
         }
     }
 
-    /// Admits a call whose program is served here.
+    /// Admits a call to a program that this node serves.
     ///
     /// # Errors
     ///
-    /// Refuses as [`dandelionfront_coordination::Owner::admit`] does.
+    /// Refuses as documented at [`dandelionfront_coordination::Owner::admit`].
     pub async fn admit(&self, request: &CallRequest) -> Result<Admission, Refusal> {
         let (node, shard) = self.serving_node(&request.program)?;
         let mut admission = node.owner().admit(request).await?;
@@ -155,11 +157,11 @@
         Ok(admission)
     }
 
-    /// Takes one token of `team` before a request is served.
+    /// Takes a rate limit token of `team` for a request.
     ///
     /// # Errors
     ///
-    /// Refuses when the team is over its rate and burst.
+    /// Refuses when the team exceeds its rate and burst.
     pub async fn acquire(&self, team: &TeamId) -> Result<(), Refusal> {
         let config = self.follower.current();
         let Some(limit) = config.team_limit(team) else { return Ok(()) };
@@ -167,7 +169,7 @@
         node.limits().acquire(team, limit, &node.membership().members()).await
     }
 
-    /// Takes one token of `team` from this node's share, for another node.
+    /// Takes a token from this node's share of the limit of `team`, on behalf of another node.
     pub async fn take_own(&self, team: &TeamId, row_version: u64) -> TakeReply {
         let config = self.follower.current();
         let Some(limit) = config.team_limit(team) else { return TakeReply::NotHolder };
@@ -175,7 +177,7 @@
         node.limits().take_own(team, row_version, limit, &node.membership().members()).await
     }
 
-    /// Records the end of an attempt; an attempt of an earlier incarnation records nothing.
+    /// Records the result of an attempt, unless an earlier incarnation of this node started it.
     pub async fn finish(&self, ticket: &CallTicket, request: &CallRequest, end: AttemptEnd) {
         let node = self.node();
         if node.incarnation().id() == ticket.incarnation {
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Chooses a backend server of `route` or of its fallbacks.
+    /// Selects a backend server for `route`, or else for one of its fallback routes.
     ///
     /// # Errors
     ///
@@ -219,11 +221,12 @@
         }))
     }
 
-    /// Opens a program on a shard of this node, or on its parent's shard.
+    /// Opens a program on its parent's shard, or without a parent on any shard of this node.
     ///
     /// # Errors
     ///
-    /// Refuses when the parent is unknown or this node serves no shard.
+    /// Refuses when the parent is unknown or not served by this node, and when this node serves no
+    /// shard.
     pub async fn open_program(&self, spec: ProgramSpec) -> Result<ProgramId, Refusal> {
         let (node, shard) = match &spec.parent {
             Some(parent) => self.serving_node(parent)?,
@@ -234,11 +237,11 @@
         Ok(id)
     }
 
-    /// Ends a program served here.
+    /// Ends a program that this node serves.
     ///
     /// # Errors
     ///
-    /// Refuses when the program is not served here or not one of the team's.
+    /// Refuses when this node does not serve the program or it belongs to another team.
     pub async fn close_program(
         &self,
         id: &str,
@@ -255,17 +258,17 @@
         Ok(ended)
     }
 
-    /// Returns a program served here.
+    /// Returns a program that this node serves.
     ///
     /// # Errors
     ///
-    /// Refuses when the program is not served here or not one of the team's.
+    /// Refuses when this node does not serve the program or it belongs to another team.
     pub fn program(&self, id: &str, team: Option<&str>) -> Result<Program, Refusal> {
         let (node, _) = self.serving_node(id)?;
         node.owner().program(id, team).ok_or_else(Refusal::program_unknown)
     }
 
-    /// Returns the node and the shard of a program, if this node serves it.
+    /// Returns the node and the shard of a program if this node serves it.
     fn serving_node(&self, program: &str) -> Result<(Rc<Node>, ShardId), Refusal> {
         let home = home_of_program(program).ok_or_else(Refusal::program_unknown)?;
         let node = self.node();
@@ -277,16 +280,16 @@
         }
     }
 
-    /// Publishes a configuration and adopts it here at once.
+    /// Publishes a configuration and activates it on this node immediately.
     ///
     /// # Errors
     ///
-    /// Fails as [`dandelionfront_coordination::ConfigStore::publish`] does.
+    /// Fails as documented at [`dandelionfront_coordination::ConfigStore::publish`].
     pub async fn publish(&self, publication: &Publication) -> Result<Published, PublishError> {
         self.follower.publish(publication, self.clock.unix()).await
     }
 
-    /// Reads a recorded body.
+    /// Loads a recorded body.
     ///
     /// # Errors
     ///
@@ -341,7 +344,7 @@
         }
     }
 
-    /// Follows the platform's list of leaving VMs.
+    /// Polls the platform's VM list, so that leaving VMs get no new calls.
     async fn watch_vms(self: Rc<Self>) {
         loop {
             match self.vm_list.vms().await {
@@ -355,7 +358,7 @@
         }
     }
 
-    /// Ends abandoned programs and frees the engine memory of ended ones.
+    /// Ends abandoned programs and releases the engine memory of ended ones.
     async fn release_memory(self: Rc<Self>) {
         let releaser = Releaser::new(self.engine_client.clone(), self.settings.engine_silence);
         loop {
--- a/crates/daemon/src/request/answer.rs
+++ b/crates/daemon/src/request/answer.rs
@@ -1,4 +1,4 @@
-//! Answers and refusals as HTTP.
+//! HTTP responses for answers and refusals.
 
 use std::convert::Infallible;
 
@@ -12,7 +12,7 @@
 use crate::consts::JSON;
 use crate::process::Metrics;
 
-/// Pause in whole seconds for the `Retry-After` header.
+/// Converts a delay to whole seconds for the `Retry-After` header, at least 1.
 fn retry_after_s(retry_after_ms: u64) -> u64 {
     retry_after_ms.div_ceil(1_000).max(1)
 }
@@ -64,7 +64,7 @@
         .body(answer.body.0)
 }
 
-/// Returns a response that sends `events` as they come.
+/// Returns a response that streams `events`.
 #[must_use]
 pub fn event_stream<S>(program: &str, events: S) -> HttpResponse
 where
@@ -77,7 +77,7 @@
         .streaming(Box::pin(events))
 }
 
-/// Returns one server-sent event.
+/// Formats a server-sent event.
 #[must_use]
 pub fn event(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
--- a/crates/daemon/src/request/auth.rs
+++ b/crates/daemon/src/request/auth.rs
@@ -1,4 +1,4 @@
-//! Who a caller is, and whether its key still holds.
+//! Authentication of callers, and revocation while their requests run.
 
 use std::sync::Arc;
 
@@ -7,21 +7,21 @@
 use ntex::web::HttpRequest;
 use tokio::sync::watch;
 
-/// Team of requests without a key on routes that are open to all.
+/// Team of requests without a key; routes that are open to all accept them.
 pub const ANONYMOUS_TEAM: &str = "-open-";
 
 const BEARER: &str = "Bearer ";
 
-/// Returns the key that a request presents.
+/// Returns the bearer token of a request.
 fn bearer_key(request: &HttpRequest) -> Option<&str> {
     request.headers().get("authorization")?.to_str().ok()?.strip_prefix(BEARER).map(str::trim)
 }
 
-/// Returns the caller of a request, or `None` when it presents no key.
+/// Authenticates the caller of a request; returns `None` if the request has no key.
 ///
 /// # Errors
 ///
-/// Refuses keys that are unknown or withdrawn, and everything before the first configuration.
+/// Refuses unknown and withdrawn keys, and any request before the first configuration.
 pub fn identify(config: &ConfigSnapshot, request: &HttpRequest) -> Result<Option<Caller>, Refusal> {
     if config.version() == 0 {
         return Err(Refusal::not_run(
@@ -32,7 +32,7 @@
     bearer_key(request).map(|key| config.authenticate(key)).transpose()
 }
 
-/// Creates the refusal of a request that needs a key and presents none.
+/// Returns the refusal of a request that needs a key but has none.
 #[must_use]
 pub fn key_missing() -> Refusal {
     Refusal::not_run(
@@ -41,7 +41,7 @@
     )
 }
 
-/// Watches that a caller's key stays valid while its request runs.
+/// Detects that a caller's key becomes invalid while its request runs.
 #[derive(Debug, Clone)]
 pub struct KeyGuard {
     caller: Option<Caller>,
@@ -49,13 +49,13 @@
 }
 
 impl KeyGuard {
-    /// Creates a guard for `caller`; a request without a key is never ended by it.
+    /// Creates a guard for `caller`; a request without a key is never interrupted.
     #[must_use]
     pub fn new(caller: Option<Caller>, config: watch::Receiver<Arc<ConfigSnapshot>>) -> Self {
         Self { caller, config }
     }
 
-    /// Completes once the key no longer holds.
+    /// Completes with a refusal when the key becomes invalid.
     pub async fn invalidated(&mut self) -> Refusal {
         let Some(caller) = &self.caller else {
             return std::future::pending().await;
--- a/crates/daemon/src/request/chat.rs
+++ b/crates/daemon/src/request/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`.
+//! Handler of `POST /v1/chat/completions`.
 
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
 use crate::backend::{ChatBody, single_chunk};
 use crate::process::Worker;
 
-/// Serves a chat completion.
+/// Handles a chat completion request.
 pub async fn chat_completions(
     worker: State<Rc<Worker>>,
     request: HttpRequest,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Reads and checks a request and takes its team's token.
+/// Reads and validates a request and takes a rate limit token of its team.
 async fn receive(
     worker: &Worker,
     request: &HttpRequest,
@@ -102,7 +102,8 @@
     })
 }
 
-/// Answers with a stream if the first event is a part, and with a whole body otherwise.
+/// Responds with an event stream or a complete body, as the caller asked; a refusal that comes
+/// before any chunk is a plain error response.
 async fn respond(worker: &Worker, mut stream: CallStream, in_flight: InFlight) -> HttpResponse {
     let metrics = worker.shared.metrics.clone();
     let first = stream.next().await;
@@ -138,7 +139,7 @@
     unfold(state, move |state| {
         let metrics = metrics.clone();
         async move {
-            let (mut stream, first, in_flight, parts_sent) = state?;
+            let (mut stream, first, in_flight, chunks_sent) = state?;
             let started = clock.monotonic();
             let next = if let Some(event) = first {
                 event
@@ -149,13 +150,13 @@
                 next
             };
             match next {
-                CallEvent::Delta(part) => {
-                    let bytes = event(&part.to_text());
+                CallEvent::Delta(chunk) => {
+                    let bytes = event(&chunk.to_text());
                     Some((Ok(bytes), Some((stream, None, in_flight, true))))
                 }
                 CallEvent::Finished(answer) => {
                     in_flight.answered();
-                    Some((Ok(last_events(&answer.body, parts_sent)), None))
+                    Some((Ok(last_events(&answer.body, chunks_sent)), None))
                 }
                 CallEvent::Refused(refusal) => {
                     metrics.count_refusal(refusal.kind);
@@ -166,10 +167,11 @@
     })
 }
 
-/// Returns the end of a stream; a recorded answer without parts becomes a single one.
-fn last_events(whole: &CallBody, parts_sent: bool) -> Bytes {
+/// Returns the final events of a stream; if no chunk was sent, because the answer was recorded
+/// earlier, the complete answer comes first as a single chunk.
+fn last_events(whole: &CallBody, chunks_sent: bool) -> Bytes {
     let mut bytes = Vec::new();
-    if !parts_sent {
+    if !chunks_sent {
         let chunk = single_chunk(&whole.0);
         bytes.extend_from_slice(&event(&String::from_utf8_lossy(&chunk)));
     }
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -1,4 +1,4 @@
-//! Executes an admitted call at a backend server.
+//! Executes an admitted call on a backend server.
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
 use crate::process::Worker;
 use crate::process::metrics::RetryReason;
 
-/// Tries of one attempt at different backend servers.
+/// Maximum number of backend servers tried in one attempt.
 const TRIES_MAX: usize = 3;
-/// Time between two checks for an abandoned call.
+/// Interval between checks whether a call was abandoned.
 const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Executes a call and records its end.
+/// Executes a call and records the result.
 pub async fn run(worker: Worker, ticket: CallTicket, request: CallRequest) {
     let repeatable = request.repeatable;
     hit_crash_point(repeatable, CrashPoint::Started);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Marks a step of a non-repeatable call.
+/// Hits a crash point, but only for a call that is not repeatable.
 pub fn hit_crash_point(repeatable: bool, point: CrashPoint) {
     if !repeatable {
         crash::hit(point);
@@ -81,7 +81,7 @@
         worker.shared.control.release(placement);
         let reason = retry_reason(request, &result).filter(|_| tried.len() < TRIES_MAX);
         let Some(reason) = reason else {
-            // A refusal of this try says nothing about an earlier one that was lost.
+            // A refusal by this backend server does not show whether an earlier one ran the call.
             return result.map(|answer| (answer, backend)).map_err(|error| lost.unwrap_or(error));
         };
         if let Err(error @ BackendError::Lost(_)) = result {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Returns why a failed try may be repeated at another backend server.
+/// Returns the reason to retry on another backend server, or `None` if a retry is not allowed.
 fn retry_reason(
     request: &CallRequest,
     result: &Result<BackendAnswer, BackendError>,
@@ -100,7 +100,7 @@
         Err(BackendError::NotRun(refusal)) if refusal.kind == RefusalKind::NoBackend => {
             Some(RetryReason::BackendUnreachable)
         }
-        // Parts of a stream may already be with the caller; another run may differ from them.
+        // Not for streams: the caller may have received chunks from which another run would differ.
         Err(BackendError::Lost(_)) if request.repeatable && !request.stream => {
             Some(RetryReason::AttemptLost)
         }
@@ -168,7 +168,7 @@
     result
 }
 
-/// Passes the parts of a completion on to whoever follows the call.
+/// Pushes the chunks of a streamed completion to the feed of the call.
 struct FeedSink<'a> {
     worker: &'a Worker,
     ticket: &'a CallTicket,
@@ -176,7 +176,7 @@
 }
 
 impl GenerationSink for FeedSink<'_> {
-    fn on_part(&mut self, data: &str) {
+    fn on_chunk(&mut self, data: &str) {
         if self.stream {
             self.ticket.feed.push(Payload::from(data));
         }
@@ -187,7 +187,7 @@
     }
 }
 
-/// Completes once the call was cancelled, or no caller has waited for it for too long.
+/// Completes when the call is cancelled or has been without a waiting caller for too long.
 async fn wait_abandoned(worker: &Worker, ticket: &CallTicket) {
     let mut since = None;
     loop {
--- a/crates/daemon/src/request/forwarded.rs
+++ b/crates/daemon/src/request/forwarded.rs
@@ -1,4 +1,4 @@
-//! Owner side of forwarded calls and program requests.
+//! Handlers for calls and program requests that other nodes forward to their owner, this node.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use crate::consts::EVENT_STREAM;
 use crate::process::Worker;
 
-/// Longest pause before an event tells the edge that the call still runs.
+/// Interval between keep-alive events on an otherwise idle event stream.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Registers the handlers of the forward listener.
@@ -42,7 +42,8 @@
     let worker = (**worker).clone();
     let call = call.into_inner();
     let admission = async move { admit_local(&worker, &call).await }.boxed_local();
-    // The response begins before the call is admitted, so that the edge sees its owner alive.
+    // The response starts before the call is admitted, so that the forwarding node knows that the
+    // owner is alive.
     let events = unfold(Stage::Admitting(admission), |stage| async move {
         let (bytes, stage) = next_event(stage).await?;
         Some((Ok::<_, Infallible>(bytes), stage))
@@ -59,7 +60,7 @@
             Err(()) => (keep_alive(), Stage::Admitting(admission)),
         },
         Stage::Following(mut reader) => match timeout(KEEP_ALIVE_INTERVAL, reader.next()).await {
-            Ok(part @ CallEvent::Delta(_)) => (encode(&part), Stage::Following(reader)),
+            Ok(chunk @ CallEvent::Delta(_)) => (encode(&chunk), Stage::Following(reader)),
             Ok(last) => (encode(&last), Stage::Ended),
             Err(()) => (keep_alive(), Stage::Following(reader)),
         },
@@ -75,7 +76,7 @@
     HttpResponse::Ok().json(&reply)
 }
 
-/// Serves a program request on this node.
+/// Executes a program request on this node.
 pub async fn serve_program_request(worker: &Worker, request: ProgramRequest) -> ProgramReply {
     let control = &worker.shared.control;
     let reply: Result<ProgramReply, Refusal> = match request {
@@ -94,7 +95,7 @@
     event(&serde_json::to_string(call_event).unwrap_or_default())
 }
 
-/// Returns an event that shows that the call still runs.
+/// Returns a keep-alive event.
 fn keep_alive() -> Bytes {
     Bytes::from(format!("event: {KEEP_ALIVE_EVENT}\ndata: {{}}\n\n"))
 }
--- a/crates/daemon/src/request/mod.rs
+++ b/crates/daemon/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as one request.
+//! State and handlers with the lifetime of one request.
 
 pub mod answer;
 pub mod auth;
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/programs`, `GET` and `DELETE /v1/programs/{id}`, `GET /v1/models`.
+//! Handlers of `POST /v1/programs`, `GET` and `DELETE /v1/programs/{id}` and `GET /v1/models`.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,9 +27,9 @@
 use crate::process::metrics::RetryReason;
 use crate::process::{Control, Worker};
 
-/// Pause between two tries to reach the owner.
+/// Delay between attempts to reach the owner.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for another node's reply.
+/// Timeout of the reply from another node.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Body of `POST /v1/programs`.
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns state and whole history of a program.
+/// Returns the state and complete history of a program.
 pub async fn get_program(
     worker: State<Rc<Worker>>,
     request: HttpRequest,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Ends a program wherever it is served.
+/// Ends a program, on whichever node it is served.
 ///
 /// # Errors
 ///
@@ -108,11 +108,11 @@
     }
 }
 
-/// Reads a program wherever it is served, with all bodies.
+/// Reads a program with all bodies, on whichever node it is served.
 ///
 /// # Errors
 ///
-/// Refuses when the program is unknown or its owner or a body cannot be read.
+/// Refuses when the program is unknown, its owner cannot be reached or a body cannot be read.
 pub async fn program_view(
     worker: &Worker,
     id: &str,
@@ -181,7 +181,7 @@
     }
 }
 
-/// Returns a home served here, or any home of the region while this node serves none.
+/// Returns a random home that this node serves, or any home of the region if it serves none.
 async fn new_home(worker: &Worker) -> Result<ProgramHome, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
     let shards = worker.shared.control.run(serving).await?;
@@ -202,7 +202,7 @@
     Ok(caller.team)
 }
 
-/// Sends a program request to the owner of `home`, wherever that is.
+/// Sends a program request to the owner of `home`, with retries until the owner timeout.
 async fn ask_owner(
     worker: &Worker,
     home: &ProgramHome,
--- a/crates/daemon/src/request/routes.rs
+++ b/crates/daemon/src/request/routes.rs
@@ -1,4 +1,4 @@
-//! What the callers' handlers share: identity of a call, its route, counting.
+//! Shared helpers of the handlers for callers: call identity, request body, route, call metrics.
 
 use std::time::{Duration, Instant};
 
@@ -14,19 +14,19 @@
 use crate::process::{Metrics, Worker};
 use crate::settings::Settings;
 
-/// Longest idempotency key.
+/// Maximum length of an idempotency key.
 const IDEMPOTENCY_KEY_MAX_BYTES: usize = 256;
 
-/// Which call of which program a request is.
+/// Identity of a call within its program.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallIdentity {
-    /// Program, implicit for a single call.
+    /// Program of the call; created implicitly for a single call.
     pub program: ProgramId,
     /// Whether the program consists of this call alone.
     pub single: bool,
-    /// Position in the program.
+    /// Position of the call in the program.
     pub sequence: CallSequence,
-    /// Key that identifies repeats.
+    /// Key that identifies retries of the call.
     pub idempotency_key: String,
 }
 
@@ -34,7 +34,7 @@
 ///
 /// # Errors
 ///
-/// Refuses headers that are malformed or contradict each other.
+/// Refuses malformed headers and incomplete combinations of headers.
 pub fn read_identity(
     settings: &Settings,
     request: &HttpRequest,
@@ -73,11 +73,11 @@
     }
 }
 
-/// Reads a request's body.
+/// Reads the body of a request.
 ///
 /// # Errors
 ///
-/// Refuses bodies over the limit and bodies that do not arrive whole.
+/// Refuses bodies above the size limit and bodies that are cut off.
 pub async fn read_body(worker: &Worker, mut payload: types::Payload) -> Result<Bytes, Refusal> {
     let limit = worker.shared.settings.body_max_bytes;
     let mut body = BytesMut::new();
@@ -94,11 +94,11 @@
     Ok(body.freeze())
 }
 
-/// Takes the token of a caller's request, once, before it is forwarded anywhere.
+/// Takes a rate limit token of the caller's team; to be called once, before any forwarding.
 ///
 /// # Errors
 ///
-/// Refuses when the team is over its rate and burst.
+/// Refuses when the team exceeds its rate and burst.
 pub async fn admit_team(worker: &Worker, call: &CallRequest) -> Result<(), Refusal> {
     if call.team == ANONYMOUS_TEAM {
         return Ok(());
@@ -106,7 +106,7 @@
     worker.shared.control.acquire(call.team.clone()).await
 }
 
-/// Returns the route and the team that a request runs for.
+/// Returns the route of a request and the team that it runs for.
 ///
 /// # Errors
 ///
@@ -140,7 +140,7 @@
     Refusal::not_run(RefusalKind::InvalidRequest, message)
 }
 
-/// Counts a call while its caller waits for it.
+/// Counts a call as in flight until it is dropped.
 #[derive(Debug)]
 pub struct InFlight {
     metrics: Metrics,
@@ -148,7 +148,7 @@
 }
 
 impl InFlight {
-    /// Counts a call that just arrived.
+    /// Starts to count a call that has just arrived.
     #[must_use]
     pub fn new(metrics: &Metrics) -> Self {
         metrics.calls_in_flight.inc();
@@ -161,7 +161,7 @@
         self.arrived.elapsed()
     }
 
-    /// Records that the complete answer was handed over.
+    /// Records that the complete answer was sent to the caller.
     pub fn answered(&self) {
         self.metrics.calls_answered.inc();
         self.metrics.call_seconds.observe(self.elapsed().as_secs_f64());
--- a/crates/daemon/src/request/service.rs
+++ b/crates/daemon/src/request/service.rs
@@ -1,4 +1,4 @@
-//! `ANY /v1/services/{route}/...`.
+//! Handler of `/v1/services/{route}/...` for all HTTP methods.
 
 use std::rc::Rc;
 
@@ -13,10 +13,10 @@
 use super::submit::CallStream;
 use crate::process::Worker;
 
-/// Path below which services are called.
+/// Path prefix of calls to plain services.
 pub const SERVICES_PATH: &str = "/v1/services/";
 
-/// Serves a call to a plain service.
+/// Handles a call to a plain service.
 pub async fn call_service(
     worker: State<Rc<Worker>>,
     request: HttpRequest,
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -1,4 +1,4 @@
-//! Sends a call to its program's owner, wherever that is, and follows it to the end.
+//! Sends a call to the owner of its program, on this or another node, and receives its events.
 
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 use std::rc::Rc;
@@ -23,56 +23,57 @@
 use crate::process::metrics::RetryReason;
 use crate::process::{Control, Worker};
 
-/// Pause between two tries to reach the owner.
+/// Delay between attempts to reach the owner.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Longest wait for an owner to begin its answer: it sends a first event at once.
+/// Timeout for the start of an owner's response, which begins before the call is admitted.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time without an event from the owner, which sends a keep-alive in between.
+/// Idle timeout of the event stream from an owner, which sends keep-alive events.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
 enum Source {
-    /// Not connected to an owner.
+    /// No owner is connected.
     Detached,
-    /// The owner is this node.
+    /// This node is the owner.
     Local(FeedReader),
-    /// The owner is another node.
+    /// Another node is the owner.
     Remote(Box<RemoteCall>),
-    /// The call has ended.
+    /// The last event was returned.
     Ended,
 }
 
-/// Events of one call, surviving moves and losses of its owner.
+/// Event stream of one call; reconnects when the owner of the program moves or fails.
 pub struct CallStream {
     worker: Worker,
     request: CallRequest,
     guard: KeyGuard,
     source: Source,
-    /// Whether an owner that is lost may have run the call.
+    /// Whether an owner that failed may have run the call.
     may_have_run: bool,
     deadline: Duration,
     delivered: StreamPrefix,
     replayed: StreamPrefix,
 }
 
-/// Parts of a stream that went to the caller, to recognise them when the call is joined again.
+/// Number and digest of the first chunks of a stream. After a reconnection they show whether the
+/// new stream starts with the chunks that the caller already received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct StreamPrefix {
-    parts: usize,
+    chunks: usize,
     digest: u64,
 }
 
 impl StreamPrefix {
-    fn add(&mut self, part: &Payload) {
+    fn add(&mut self, chunk: &Payload) {
         let mut hasher = DefaultHasher::new();
         self.digest.hash(&mut hasher);
-        part.0.hash(&mut hasher);
+        chunk.0.hash(&mut hasher);
         self.digest = hasher.finish();
-        self.parts += 1;
+        self.chunks += 1;
     }
 }
 
 impl CallStream {
-    /// Creates the stream of `request`; nothing is sent before the first event is asked for.
+    /// Creates the stream of `request`; the request is sent by the first [`CallStream::next`].
     #[must_use]
     pub fn new(worker: Worker, request: CallRequest, guard: KeyGuard) -> Self {
         let deadline = worker.shared.clock.monotonic() + worker.shared.settings.owner_wait;
@@ -94,13 +95,13 @@
         &self.request.program
     }
 
-    /// Returns whether the caller reads a stream.
+    /// Returns whether the caller asked for a streamed answer.
     #[must_use]
     pub fn wants_stream(&self) -> bool {
         self.request.stream
     }
 
-    /// Returns the next event; [`CallEvent::Finished`] and [`CallEvent::Refused`] are the last.
+    /// Returns the next event; [`CallEvent::Finished`] and [`CallEvent::Refused`] end the stream.
     pub async fn next(&mut self) -> CallEvent {
         let mut guard = self.guard.clone();
         let event = {
@@ -117,7 +118,7 @@
         event
     }
 
-    /// Waits for the outcome and drops the parts before it.
+    /// Waits for the final result and discards the chunks before it.
     ///
     /// # Errors
     ///
@@ -148,8 +149,8 @@
                     self.may_have_run |= refusal.run != RunState::NotRun;
                     self.detach(RetryReason::OwnerMoved);
                 }
-                Some(CallEvent::Delta(part)) => match self.deliver(part) {
-                    Ok(Some(part)) => return CallEvent::Delta(part),
+                Some(CallEvent::Delta(chunk)) => match self.deliver(chunk) {
+                    Ok(Some(chunk)) => return CallEvent::Delta(chunk),
                     Ok(None) => {}
                     Err(refusal) => return CallEvent::Refused(refusal),
                 },
@@ -162,15 +163,15 @@
         }
     }
 
-    /// Skips parts that the caller already has; fails when a repeated run differs from them.
-    fn deliver(&mut self, part: Payload) -> Result<Option<Payload>, Refusal> {
-        if self.replayed.parts == self.delivered.parts {
-            self.delivered.add(&part);
+    /// Skips chunks that the caller already received; fails when the replayed chunks differ.
+    fn deliver(&mut self, chunk: Payload) -> Result<Option<Payload>, Refusal> {
+        if self.replayed.chunks == self.delivered.chunks {
+            self.delivered.add(&chunk);
             self.replayed = self.delivered;
-            return Ok(Some(part));
+            return Ok(Some(chunk));
         }
-        self.replayed.add(&part);
-        if self.replayed.parts == self.delivered.parts && self.replayed != self.delivered {
+        self.replayed.add(&chunk);
+        if self.replayed.chunks == self.delivered.chunks && self.replayed != self.delivered {
             return Err(interrupted());
         }
         Ok(None)
@@ -181,7 +182,7 @@
             CallEvent::Finished(_) if self.replayed != self.delivered => {
                 CallEvent::Refused(interrupted())
             }
-            // An earlier owner may have run a repeatable call without a record of it.
+            // A failed owner may have run a repeatable call without recording it.
             CallEvent::Refused(refusal) if self.may_have_run && self.request.repeatable => {
                 CallEvent::Refused(Refusal { run: RunState::Unknown, ..refusal })
             }
@@ -251,14 +252,14 @@
     }
 }
 
-/// Admits a call on this node and starts its execution where it has to run.
+/// Admits a call on this node and executes it unless it already runs or has finished.
 ///
 /// # Errors
 ///
-/// Refuses as [`dandelionfront_coordination::Owner::admit`] does.
+/// Refuses as documented at [`dandelionfront_coordination::Owner::admit`].
 pub async fn admit_local(worker: &Worker, request: &CallRequest) -> Result<FeedReader, Refusal> {
     let (reply, admitted) = oneshot::channel();
-    // A task of its own: a caller that goes away must not strand an admitted call.
+    // Runs in a separate task, because an admitted call must end even if its caller disconnects.
     ntex::rt::spawn(admit_and_run(worker.clone(), request.clone(), reply));
     admitted.await.unwrap_or_else(|_| Err(Refusal::outcome_unknown()))
 }
@@ -281,7 +282,7 @@
     let _ = reply.send(result);
 }
 
-/// Returns a reader of a recorded answer.
+/// Returns a reader that receives a recorded answer.
 async fn replay(worker: &Worker, stored: StoredAnswer) -> Result<FeedReader, Refusal> {
     let StoredAnswer { status, content_type, body } = stored;
     let load = move |control: Rc<Control>| async move { control.load_body(&body).await };
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the head row to the newest configuration.
+//! Keeps the active configuration up to date with the version in the head row.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -22,12 +22,12 @@
 
 use crate::process::Metrics;
 
-/// Versions whose changes are kept for peers.
+/// Maximum number of recent versions whose changes are cached for peers.
 const RECENT_VERSIONS_MAX: usize = 64;
-/// Pause after a version that could not be read.
+/// Delay before a retry after a version could not be read.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Holds the version in force and adopts newer ones.
+/// Holds the active configuration and switches to newer versions.
 pub struct Follower {
     store: ConfigStore,
     peers: Rc<dyn Peers>,
@@ -39,7 +39,7 @@
 }
 
 impl Follower {
-    /// Creates a follower that publishes adopted versions through `current`.
+    /// Creates a follower that sends each newly active version to `current`.
     #[must_use]
     pub fn new(
         platform: Platform,
@@ -58,13 +58,13 @@
         }
     }
 
-    /// Returns the version in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn current(&self) -> Arc<ConfigSnapshot> {
         Arc::clone(&self.current.borrow())
     }
 
-    /// Reads the head row and returns the newest version after adopting it.
+    /// Reads the head row, activates the newest version and returns it.
     ///
     /// # Errors
     ///
@@ -75,13 +75,13 @@
         Ok(self.current())
     }
 
-    /// Returns the stored versions.
+    /// Returns the store of published versions.
     #[must_use]
     pub fn store(&self) -> &ConfigStore {
         &self.store
     }
 
-    /// Adopts each newer version that the head row names or a peer has.
+    /// Activates each newer version that the head row names or that a peer has.
     pub async fn follow(&self, mut head: watch::Receiver<Head>) {
         loop {
             let newest = head.borrow_and_update().config_version;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns what a peer needs to get from `version` to the version in force.
+    /// Returns the update that brings a peer from `version` to the active configuration.
     #[must_use]
     pub fn transfer_after(&self, version: ConfigVersion) -> ConfigTransfer {
         let recent = self.recent.borrow();
@@ -118,7 +118,8 @@
         }
     }
 
-    /// Fetches a newer version from a peer that has one; returns whether none is left to fetch.
+    /// Fetches a newer version from a peer, if one is known to have it; returns `false` if the
+    /// fetch failed.
     async fn catch_up_from_peer(&self) -> bool {
         let Some(newer) = self.newer_peer.borrow_mut().take() else { return true };
         let current = self.current();
@@ -161,7 +162,8 @@
         }
     }
 
-    /// Keeps a version's changes for peers that are behind, if they are small.
+    /// Caches the changes of a version for peers that lag behind; changes that are too large to be
+    /// stored inline clear the cache.
     fn cache_recent(&self, row: VersionRow) {
         let mut recent = self.recent.borrow_mut();
         if !matches!(row.changes, Body::Inline(_)) {
@@ -177,11 +179,12 @@
         }
     }
 
-    /// Publishes a configuration and adopts it at once.
+    /// Publishes a configuration and activates it on this node immediately.
     ///
     /// # Errors
     ///
-    /// Fails when the objects have faults, another publication came first, or the platform failed.
+    /// Fails when the objects are invalid, another version was published in the meantime, or the
+    /// platform fails.
     pub async fn publish(
         &self,
         publication: &Publication,
@@ -194,7 +197,7 @@
         let row = self.store.publish(publication, current.objects(), now).await?;
         let published = Published::from(&row);
         self.adopt(row.version, publication.objects.clone());
-        // Peers get the changes of this version, not the whole set.
+        // Lets peers fetch only the changes of this version instead of the complete set.
         self.cache_recent(row);
         Ok(published)
     }
@@ -213,7 +216,7 @@
         Ok(())
     }
 
-    /// Puts `version` in force unless the same or a newer one already is.
+    /// Activates `version`, unless the same or a newer version is already active.
     fn adopt(&self, version: ConfigVersion, objects: ObjectSet) {
         let adopted = self.current.send_if_modified(|current| {
             let newer = version > current.version();
--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! One published configuration and how the node follows to the next.
+//! State with the lifetime of one published configuration, and the switch to the next one.
 
 mod follower;
 
