--- a/crates/daemon/benches/capacity/main.rs
+++ b/crates/daemon/benches/capacity/main.rs
@@ -1,7 +1,10 @@
-//! Measures the slopes behind `docs/CAPACITY.md` with real processes and small stand-ins.
+//! Measures how the load of a node depends on the size and traffic of the fleet; the fitted slopes
+//! are used in `docs/CAPACITY.md`.
 //!
-//! Prints one line per point and writes all points and slopes as JSON to the file named by
-//! `CAPACITY_OUT`, or to `capacity.json` in the current folder.
+//! Runs real node processes with small stand-ins for all other services.
+//!
+//! Prints one line per point and writes all points and fitted slopes as JSON to the file named by
+//! `CAPACITY_OUT`, or to `capacity.json` in the working directory.
 
 mod probe;
 mod scenarios;
@@ -25,7 +28,7 @@
     std::fs::write(path, serde_json::to_string_pretty(&report)? + "\n")
 }
 
-/// Returns a least-squares line for each scenario and metric.
+/// Fits a line to each metric of each scenario with at least four points.
 fn slopes(points: &[Point]) -> Vec<serde_json::Value> {
     let mut series: BTreeMap<(&str, &str), Vec<(f64, f64)>> = BTreeMap::new();
     for point in points {
@@ -47,7 +50,7 @@
         .collect()
 }
 
-/// Fits a line; returns slope, intercept and the largest distance of a sample from it.
+/// Fits a least-squares line; returns its slope, its intercept and the largest absolute residual.
 fn fit(samples: &[(f64, f64)]) -> (f64, f64, f64) {
     let count = f64::from(u32::try_from(samples.len()).unwrap_or(u32::MAX));
     let mean = |value: fn(&(f64, f64)) -> f64| samples.iter().map(value).sum::<f64>() / count;
--- a/crates/daemon/benches/capacity/probe.rs
+++ b/crates/daemon/benches/capacity/probe.rs
@@ -1,4 +1,4 @@
-//! Reads processor time, memory and counters of running nodes.
+//! Measures the CPU time, memory and metrics of running nodes.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,16 +8,16 @@
 
 use crate::support::fleet::{Fleet, Node};
 
-/// Length of one window.
+/// Duration of a measurement window.
 const WINDOW_DURATION: Duration = Duration::from_secs(4);
-/// Windows of one point.
+/// Number of measurement windows per point.
 const WINDOWS_PER_POINT: usize = 3;
-/// Clock ticks per second of `/proc/PID/stat`.
+/// Unit of the CPU times in `/proc/PID/stat`, in ticks per second.
 const TICKS_PER_S: f64 = 100.0;
-/// Nodes whose figures are averaged.
+/// Maximum number of nodes whose values are averaged.
 const SAMPLED_NODES: usize = 6;
 
-/// Figures of one point: a value per window for each metric.
+/// Values of one point: for each metric, one value per window.
 #[derive(Debug, Serialize)]
 pub struct Point {
     pub scenario: String,
@@ -52,7 +52,7 @@
     sorted.get(sorted.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// Counters of one node at one time.
+/// Values of one node at one time.
 struct Sample {
     control_cpu_s: f64,
     process_cpu_s: f64,
@@ -60,7 +60,7 @@
     counters: BTreeMap<String, f64>,
 }
 
-/// Measures the sampled nodes for a few windows.
+/// Measures the sampled nodes in [`WINDOWS_PER_POINT`] windows and adds the averages to `point`.
 pub async fn measure(fleet: &Fleet, point: &mut Point) {
     for _ in 0..WINDOWS_PER_POINT {
         let nodes = &fleet.nodes[..fleet.nodes.len().min(SAMPLED_NODES)];
@@ -98,7 +98,8 @@
         };
         (total(after) - total(before)) / elapsed_s
     };
-    // Links that others opened to this node carry as much again on average.
+    // Nodes count only the connections that they opened; on average, those that other nodes opened
+    // to them carry the same amount.
     let opened =
         rate(&["dandelionfront_peer_sent_bytes_total", "dandelionfront_peer_received_bytes_total"]);
     add("peer_bytes_per_s", opened * 2.0);
@@ -137,7 +138,7 @@
     }
 }
 
-/// Returns the processor time of the thread named `control`.
+/// Returns the CPU time of the thread named `control`.
 fn control_cpu_s(id: u32) -> f64 {
     let tasks = fs::read_dir(format!("/proc/{id}/task")).expect("process runs");
     let control = tasks.filter_map(Result::ok).map(|task| task.path()).find(|task| {
--- a/crates/daemon/benches/capacity/scenarios.rs
+++ b/crates/daemon/benches/capacity/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios: one quantity varies, all else stays.
+//! Scenarios, each of which varies one quantity and keeps all others constant.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,10 +17,10 @@
 const REQUESTS_PER_S: &[usize] = &[0, 10, 30, 90, 180];
 const CHANGES_PER_MINUTE: &[usize] = &[0, 6, 30, 120];
 const TAKEOVER_RUNS: usize = 3;
-/// Opens under way at the same time.
+/// Number of programs that are opened concurrently.
 const OPENERS: usize = 64;
 
-/// Settings of production, apart from the ones that speed up failure tests.
+/// Returns the settings used in production instead of those that speed up failure tests.
 fn production_args() -> Vec<String> {
     let args = [
         "--head-poll-ms",
@@ -190,7 +190,7 @@
     points
 }
 
-/// Sends single model calls at a rate until told to stop; returns how many failed.
+/// Sends single model calls at a constant rate until `stop` is set; returns how many failed.
 async fn send_calls(http: Http, listen: Vec<String>, per_s: usize, stop: Rc<Cell<bool>>) -> usize {
     if per_s == 0 {
         return 0;
@@ -248,7 +248,8 @@
     points
 }
 
-/// Publishes one changed object at a time; returns the last version.
+/// Publishes changes of one object at a constant rate until `stop` is set; returns the last
+/// version.
 async fn publish_changes(
     http: Http,
     operator: String,
@@ -275,7 +276,8 @@
     version
 }
 
-/// Kills one of twelve nodes: time until all shards are served, and the platform writes it takes.
+/// Kills one of twelve nodes and measures the time and the platform writes until all shards are
+/// served again.
 async fn takeover_point() -> Point {
     let mut point = Point::new("takeover", 12);
     for _ in 0..TAKEOVER_RUNS {
--- a/crates/daemon/src/backend/engine.rs
+++ b/crates/daemon/src/backend/engine.rs
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the engine cannot be reached, rejects the request or does not complete the stream.
+    /// Fails when the engine cannot be reached, rejects the request or breaks off the stream.
     async fn generate(
         &self,
         call: &EngineCall,
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -8,15 +8,15 @@
 
 /// Scheduler for agent programs in front of shared model backend servers.
 ///
-/// Every flag can be set by the environment variable named beside it.
+/// Every flag can also be set through the environment variable shown next to it.
 #[derive(Debug, Parser)]
 #[command(name = "dandelionfront", version, args_override_self = true)]
 pub struct Cli {
-    /// Most detailed level that is logged: error, warn, info, debug or trace.
+    /// Maximum log level: error, warn, info, debug or trace.
     #[arg(long, global = true, env = "DANDELIONFRONT_LOG_LEVEL", default_value = "info")]
     pub log_level: LevelFilter,
 
-    /// What to run instead of a node.
+    /// Command to run instead of a node.
     #[command(subcommand)]
     pub command: Option<Command>,
 
@@ -25,19 +25,19 @@
     pub node: NodeArgs,
 }
 
-/// Commands besides running a node.
+/// Commands that replace running a node.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Runs one node with stand-ins in this process and a sample program through it.
+    /// Runs a sample program through one node, with stand-ins for all other services.
     Trial(TrialArgs),
-    /// Runs one node on the users' platform, set up by the platform's settings file.
+    /// Runs a node on the users' platform, configured by the platform's settings file.
     Front(FrontArgs),
 }
 
 /// Flags of the trial.
 #[derive(Debug, Args)]
 pub struct TrialArgs {
-    /// Keeps the node and the stand-ins up after the sample program.
+    /// Keeps the node and the stand-ins running after the sample program.
     #[arg(long)]
     pub serve: bool,
 }
@@ -49,7 +49,7 @@
     #[arg(long, env = "DANDELIONFRONT_BOOT", default_value = "/etc/dandelionfront/boot.toml")]
     pub settings: PathBuf,
 
-    /// Port of the VM's address that serves metrics.
+    /// Port on the VM's address at which metrics are served.
     #[arg(long, env = "DANDELIONFRONT_METRICS_PORT", default_value_t = 9464)]
     pub metrics_port: u16,
 }
@@ -93,84 +93,84 @@
     #[arg(long, env = "DANDELIONFRONT_ZONE", default_value = "local-a")]
     pub zone: String,
 
-    /// Threads for callers' and peers' traffic.
+    /// Number of worker threads for callers, and as many for forwarded calls.
     #[arg(long, env = "DANDELIONFRONT_WORKERS", default_value_t = 2)]
     pub workers: usize,
 
-    /// Shards per region; must be the same on all nodes and never change.
+    /// Number of shards per region; must be the same on all nodes and must never change.
     #[arg(long, env = "DANDELIONFRONT_SHARD_COUNT", default_value_t = 256)]
     pub shard_count: u32,
 
-    /// Time between two reads of the head row, in milliseconds.
+    /// Interval between reads of the head row, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_HEAD_POLL_MS", default_value_t = 1_000)]
     pub head_poll_ms: u64,
 
-    /// Journal writes a second that all nodes of the region may make together.
+    /// Maximum number of journal writes per second by all nodes of the region together.
     #[arg(long, env = "DANDELIONFRONT_REGION_WRITES_PER_S", default_value_t = 240)]
     pub region_writes_per_s: u32,
 
-    /// Shortest time between two journal commits, in milliseconds.
+    /// Minimum interval between journal commits, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_COMMIT_INTERVAL_MS", default_value_t = 5)]
     pub commit_interval_ms: u64,
 
-    /// Time between two checkpoints of the programs served, in milliseconds.
+    /// Interval between checkpoints of the shards that the node serves, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_CHECKPOINT_INTERVAL_MS", default_value_t = 60_000)]
     pub checkpoint_interval_ms: u64,
 
-    /// Time between two heartbeats to each observer, in milliseconds.
+    /// Interval between heartbeats to each observer, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_HEARTBEAT_MS", default_value_t = 1_000)]
     pub heartbeat_ms: u64,
 
-    /// Silence after which an observer suspects a member, in milliseconds.
+    /// Time without a heartbeat after which an observer suspects a member, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_SUSPECT_MS", default_value_t = 3_500)]
     pub suspect_ms: u64,
 
-    /// Longest wait of a request for a token of its team's limit, in milliseconds.
+    /// Maximum time that a request waits for a token of its team's limit, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_TOKEN_WAIT_MS", default_value_t = 500)]
     pub token_wait_ms: u64,
 
-    /// Time for which ended programs stay readable, in seconds.
+    /// Time for which ended programs remain readable, in seconds.
     #[arg(long, env = "DANDELIONFRONT_RETENTION_S", default_value_t = 900)]
     pub retention_s: u64,
 
-    /// Longest wait for an answer of the platform, in milliseconds.
+    /// Timeout of requests to the platform, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_PLATFORM_TIMEOUT_MS", default_value_t = 2_000)]
     pub platform_timeout_ms: u64,
 
-    /// Longest wait of a call for its predecessor, in milliseconds.
+    /// Maximum time that a call waits for its predecessor, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_ORDER_WAIT_MS", default_value_t = 10_000)]
     pub order_wait_ms: u64,
 
-    /// Longest wait for the commit that must precede a dispatch, in milliseconds.
+    /// Maximum time to wait for the commit that must precede a dispatch, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_START_COMMIT_WAIT_MS", default_value_t = 2_000)]
     pub start_commit_wait_ms: u64,
 
-    /// Longest wait of a caller for the record of an answer, in milliseconds.
+    /// Maximum time that a caller waits for the commit that records its answer, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_END_COMMIT_WAIT_MS", default_value_t = 10_000)]
     pub end_commit_wait_ms: u64,
 
-    /// Longest time from the start of the commit before a dispatch to the dispatch, in
+    /// Maximum time from the start of the commit that precedes a dispatch to the dispatch, in
     /// milliseconds.
     #[arg(long, env = "DANDELIONFRONT_DISPATCH_WINDOW_MS", default_value_t = 3_000)]
     pub dispatch_window_ms: u64,
 
-    /// Longest wait for a program's owner to be reachable, in milliseconds.
+    /// Maximum time to retry until a program's owner is reachable, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_OWNER_WAIT_MS", default_value_t = 15_000)]
     pub owner_wait_ms: u64,
 
-    /// Longest silence of an engine's stream before it is resumed, in milliseconds.
+    /// Idle time after which the stream of an engine is resumed, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_ENGINE_SILENCE_MS", default_value_t = 10_000)]
     pub engine_silence_ms: u64,
 
-    /// Longest wait for the answer of a plain service, in milliseconds.
+    /// Timeout of calls to plain services, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_SERVICE_TIMEOUT_MS", default_value_t = 30_000)]
     pub service_timeout_ms: u64,
 
-    /// Longest time for which a call without a waiting caller goes on, in milliseconds.
+    /// Time after which a call without a waiting caller is cancelled, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_ABANDON_MS", default_value_t = 10_000)]
     pub abandon_ms: u64,
 
-    /// Time between two reads of the platform's VM list, in milliseconds.
+    /// Interval between reads of the platform's VM list, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_VM_POLL_MS", default_value_t = 1_000)]
     pub vm_poll_ms: u64,
 
@@ -178,11 +178,11 @@
     #[arg(long, env = "DANDELIONFRONT_PROGRAM_IDLE_S", default_value_t = 900)]
     pub program_idle_s: u64,
 
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[arg(long, env = "DANDELIONFRONT_BODY_MAX_BYTES", default_value_t = 4_194_304)]
     pub body_max_bytes: usize,
 
-    /// Longest time that a planned stop waits for running calls, in seconds.
+    /// Maximum time that a graceful shutdown waits for running calls, in seconds.
     #[arg(long, env = "DANDELIONFRONT_DRAIN_MAX_S", default_value_t = 600)]
     pub drain_max_s: u64,
 }
--- a/crates/daemon/src/consts.rs
+++ b/crates/daemon/src/consts.rs
@@ -1,21 +1,21 @@
-//! Names shared by several modules.
+//! Header names and content types shared by several modules.
 
-/// Header that names a caller's program.
+/// Header with the identifier of the caller's program.
 pub const PROGRAM_ID_HEADER: &str = "program-id";
 /// Header with the position of a call in its program.
 pub const PROGRAM_SEQUENCE_HEADER: &str = "program-sequence";
-/// Header that identifies repeats of a call.
+/// Header with the key that identifies retries of a call.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Header that names one request towards a backend server.
+/// Header with the identifier of a request to a backend server.
 pub const REQUEST_ID_HEADER: &str = "request-id";
-/// Header with the number that lets a backend server recognise an outdated sender.
+/// Header with the fencing token, by which a backend server detects a stale sender.
 pub const FENCING_NUMBER_HEADER: &str = "fencing-number";
-/// Header with the scheduling priority towards an engine; lower goes first.
+/// Header with the scheduling priority for an engine; lower values run first.
 pub const PRIORITY_HEADER: &str = "priority";
-/// Header with the time left for a request, in milliseconds.
+/// Header with the remaining time of a request, in milliseconds.
 pub const DEADLINE_HEADER: &str = "deadline-ms";
 
-/// Content type of event streams.
+/// Content type of server-sent events.
 pub const EVENT_STREAM: &str = "text/event-stream";
 /// Content type of JSON bodies.
 pub const JSON: &str = "application/json";
--- a/crates/daemon/src/crash.rs
+++ b/crates/daemon/src/crash.rs
@@ -1,18 +1,18 @@
-//! Crash points: debug builds can abort or stop the process at a named step.
+//! Crash points, at which a debug build can abort or stop the process.
 //!
-//! `DANDELIONFRONT_CRASH_POINT=STEP:ACTION` with ACTION `abort` or `stop` acts at the first time
-//! the step is reached. Release builds carry none of this.
+//! `DANDELIONFRONT_CRASH_POINT=STEP:ACTION` executes ACTION, `abort` or `stop`, when the crash
+//! point named STEP is hit for the first time. Release builds contain no crash points.
 
-/// Point at which the process can be made to crash or stop.
+/// Point in the execution of a non-repeatable call at which the process can abort or stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashPoint {
-    /// A non-repeatable call reached its owner.
+    /// The call has reached the owner of its program.
     Arrived,
-    /// Its start is recorded and nothing was sent to a backend server.
+    /// The start of the call is recorded; nothing was sent to a backend server yet.
     Started,
-    /// The backend server answered and nothing is recorded of it.
+    /// The backend server has answered; the answer is not recorded yet.
     Answered,
-    /// The answer is recorded and was not handed to the caller.
+    /// The answer is recorded; it was not sent to the caller yet.
     Finished,
 }
 
@@ -48,8 +48,8 @@
         }
         log::warn!("event=crash_point step={configured} action={action}");
         if action == "stop" {
-            // Sent to this thread: a signal to the process may stop another thread first, while
-            // this one goes on and leaves the step.
+            // Raised on this thread, because a signal to the process may stop another thread first
+            // while this thread continues beyond the crash point.
             if let Err(error) = raise(SIGSTOP) {
                 log::error!("event=crash_point_failed step={configured} cause=\"{error}\"");
             }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Fails here if the process was started with this step as its crash point.
+/// Aborts or stops the process if `point` is the configured crash point.
 #[cfg(debug_assertions)]
 pub fn hit(point: CrashPoint) {
     active::hit(point);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,7 +1,8 @@
-//! Daemon of dandelionfront: callers' HTTP in front, model engines and plain services behind.
+//! The dandelionfront daemon: accepts calls over HTTP and forwards them to model engines and plain
+//! services.
 //!
-//! Modules follow life span: [`request`] for one call, [`connection`] for links to peers,
-//! [`version`] for one published configuration, [`process`] for the node as a whole.
+//! Modules are split by lifetime: [`process`] for the node, [`version`] for the active
+//! configuration, [`connection`] for connections to other nodes, [`request`] for a single call.
 
 pub mod backend;
 pub mod cli;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -1,21 +1,21 @@
-//! Logging: one line of key=value pairs for each event.
+//! Logging with one line of key=value pairs per event.
 
 use std::time::UNIX_EPOCH;
 
 use log::{LevelFilter, SetLoggerError};
 
-/// Starts logging to standard error.
+/// Installs a logger that writes to standard error.
 ///
 /// # Errors
 ///
-/// Fails when a logger was set before.
+/// Fails when a logger is already installed.
 pub fn init(level: LevelFilter) -> Result<(), SetLoggerError> {
     dispatch(level).chain(std::io::stderr()).apply()
 }
 
-/// Returns the format and the levels of all log lines, without an output.
+/// Returns a logger with the line format and the levels, but without an output.
 ///
-/// Libraries log from `warn` on, the project's own crates from `level` on.
+/// The level is `level` for the crates of this project and `warn` for other libraries.
 pub fn dispatch(level: LevelFilter) -> fern::Dispatch {
     fern::Dispatch::new()
         .format(|out, message, record| {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -7,7 +7,7 @@
 use dandelionfront::settings::Settings;
 use dandelionfront::{front, logs, process};
 
-/// Exit code of faulty settings.
+/// Exit code for invalid settings.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/daemon/src/operator/config.rs
+++ b/crates/daemon/src/operator/config.rs
@@ -1,4 +1,4 @@
-//! Publication of configurations, keys and drains.
+//! Handlers that publish configurations, issue and withdraw keys and drain backend servers.
 
 use std::rc::Rc;
 
@@ -14,9 +14,9 @@
 
 use crate::process::{Control, Worker};
 
-/// Times that a change is derived anew after another operator published first.
+/// Maximum number of retries of a change after conflicts with other publications.
 const CONFLICT_RETRIES: usize = 10;
-/// Prefix that marks callers' keys.
+/// Prefix of callers' keys.
 const KEY_PREFIX: &str = "dlf-";
 
 /// Body of `POST /v1/keys`.
@@ -33,22 +33,22 @@
     "operator".to_owned()
 }
 
-/// An error as shown to operators.
+/// Body of an error response to an operator.
 #[derive(Debug, Serialize)]
 struct ErrorBody {
     error: String,
     problems: Vec<Problem>,
 }
 
-/// Why a change of single objects was not published.
+/// Failure to publish a change of individual objects.
 enum EditError {
-    /// The object to change does not exist, or the new one does.
+    /// The object to change does not exist, or the object to create already exists.
     Rejected(String),
     /// The publication failed.
     Publish(PublishError),
 }
 
-/// Returns the configuration in force.
+/// Returns the active configuration.
 pub async fn get_config(worker: State<Rc<Worker>>) -> HttpResponse {
     let config = worker.shared.config();
     HttpResponse::Ok().json(&json!({
@@ -58,7 +58,7 @@
     }))
 }
 
-/// Publishes a whole configuration.
+/// Publishes a complete configuration.
 pub async fn publish(worker: State<Rc<Worker>>, publication: Json<Publication>) -> HttpResponse {
     let publication = publication.into_inner();
     let work = move |control: Rc<Control>| async move { control.publish(&publication).await };
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns all versions, without their objects.
+/// Returns all published versions without their objects.
 pub async fn get_history(worker: State<Rc<Worker>>) -> HttpResponse {
     let work = |control: Rc<Control>| async move { control.follower().store().history().await };
     match worker.shared.control.run(work).await {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Issues a key; its text is shown once and never stored.
+/// Issues a key; the secret is returned once and only its hash is stored.
 pub async fn issue_key(worker: State<Rc<Worker>>, body: Json<IssueBody>) -> HttpResponse {
     let IssueBody { name, team, author } = body.into_inner();
     let secret =
@@ -134,7 +134,7 @@
     respond(edit_objects(&worker, unnamed_author(), edit).await)
 }
 
-/// Stops new work for a backend server.
+/// Drains a backend server: it gets no new calls.
 pub async fn drain_backend(worker: State<Rc<Worker>>, name: Path<String>) -> HttpResponse {
     let name = name.into_inner();
     let edit = move |objects: &mut ObjectSet| match objects.backend.get_mut(&name) {
@@ -147,7 +147,8 @@
     respond(edit_objects(&worker, unnamed_author(), edit).await)
 }
 
-/// Publishes the configuration in force with a change, again after each lost race.
+/// Applies `edit` to the newest configuration and publishes the result; retries on conflicts with
+/// other publications.
 async fn edit_objects<E>(worker: &Worker, author: String, edit: E) -> Result<Published, EditError>
 where
     E: Fn(&mut ObjectSet) -> Result<(), String> + Send + 'static,
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -1,4 +1,5 @@
-//! Operators' HTTP: configuration, keys, backend servers, programs, status, metrics, health.
+//! HTTP API for operators: configuration, keys, backend servers, programs, status, metrics and
+//! health checks.
 
 mod config;
 mod status;
@@ -38,7 +39,7 @@
     HttpResponse::Ok().content_type("text/plain").body("ok\n")
 }
 
-/// Tells the balancer whether to send new connections here.
+/// Readiness check, by which the load balancer decides whether to send new connections.
 async fn readyz(worker: State<Rc<Worker>>) -> HttpResponse {
     let reason = if worker.shared.is_draining() {
         "draining"
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! State of the node and of programs, for operators.
+//! Handlers for the state of the node and of programs.
 
 use std::rc::Rc;
 
@@ -13,7 +13,7 @@
 use crate::request::answer::refuse;
 use crate::request::programs::{close_program, program_view};
 
-/// State of a node.
+/// Body of a status response.
 #[derive(Debug, Serialize)]
 struct NodeStatus {
     incarnation: String,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns any team's program.
+/// Returns a program of any team.
 pub async fn get_program(worker: State<Rc<Worker>>, id: Path<String>) -> HttpResponse {
     let get = ProgramRequest::Get { id: id.clone(), team: None };
     match program_view(&worker, &id, get).await {
@@ -71,7 +71,7 @@
     }
 }
 
-/// Cancels any team's program.
+/// Cancels a program of any team.
 pub async fn cancel_program(worker: State<Rc<Worker>>, id: Path<String>) -> HttpResponse {
     match close_program(&worker, &id, None, CloseReason::Cancelled).await {
         Ok(ended) => HttpResponse::Ok().json(&json!({ "ended": ended })),
--- a/crates/daemon/src/process/clock.rs
+++ b/crates/daemon/src/process/clock.rs
@@ -1,4 +1,4 @@
-//! The system's clocks.
+//! Clock of the operating system.
 
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
@@ -6,14 +6,14 @@
 use futures_util::FutureExt as _;
 use futures_util::future::LocalBoxFuture;
 
-/// Clock of the operating system; clones share their starting point.
+/// Clock of the operating system; copies share the origin of the monotonic time.
 #[derive(Debug, Clone, Copy)]
 pub struct SystemClock {
     started: Instant,
 }
 
 impl SystemClock {
-    /// Creates a clock that starts now.
+    /// Creates a clock whose monotonic time starts now.
     #[must_use]
     pub fn new() -> Self {
         Self { started: Instant::now() }
--- a/crates/daemon/src/process/handle.rs
+++ b/crates/daemon/src/process/handle.rs
@@ -1,4 +1,4 @@
-//! Way from the traffic threads to the control thread.
+//! Handle by which the worker threads use the control thread.
 
 use std::future::Future;
 use std::rc::Rc;
@@ -16,24 +16,24 @@
 
 use super::control::Control;
 
-/// Work for the control thread.
+/// Task for the control thread.
 pub type ControlTask = Box<dyn FnOnce(Rc<Control>) -> LocalBoxFuture<'static, ()> + Send>;
 
-/// Sends work to the control thread and waits for its result.
+/// Sends tasks to the control thread and waits for their results.
 #[derive(Debug, Clone)]
 pub struct ControlHandle {
     tasks: mpsc::UnboundedSender<ControlTask>,
 }
 
 impl ControlHandle {
-    /// Creates a handle and the queue that the control thread serves.
+    /// Creates a handle and the receiver of its tasks, which belongs to the control thread.
     #[must_use]
     pub fn new() -> (Self, mpsc::UnboundedReceiver<ControlTask>) {
         let (tasks, queue) = mpsc::unbounded_channel();
         (Self { tasks }, queue)
     }
 
-    /// Runs `work` on the control thread.
+    /// Runs `work` on the control thread and returns its result.
     ///
     /// # Errors
     ///
@@ -61,7 +61,7 @@
         result.await.map_err(|_| stopped())
     }
 
-    /// Returns where calls for a program of this home are served.
+    /// Returns the location of the node that serves programs of `home`.
     ///
     /// # Errors
     ///
@@ -71,25 +71,25 @@
         self.run(move |control| async move { control.node().locate(&home) }).await
     }
 
-    /// Takes one token of `team` before a request is served.
+    /// Takes a rate limit token of `team` for a request.
     ///
     /// # Errors
     ///
-    /// Refuses when the team is over its rate and burst.
+    /// Refuses when the team exceeds its rate and burst.
     pub async fn acquire(&self, team: TeamId) -> Result<(), Refusal> {
         self.run(move |control| async move { control.acquire(&team).await }).await?
     }
 
-    /// Admits a call of a program served here.
+    /// Admits a call to a program that this node serves.
     ///
     /// # Errors
     ///
-    /// Refuses as [`dandelionfront_coordination::Owner::admit`] does.
+    /// Refuses as documented at [`dandelionfront_coordination::Owner::admit`].
     pub async fn admit(&self, request: CallRequest) -> Result<Admission, Refusal> {
         self.run(move |control| async move { control.admit(&request).await }).await?
     }
 
-    /// Records the end of an attempt.
+    /// Records the result of an attempt.
     ///
     /// # Errors
     ///
@@ -103,7 +103,7 @@
         self.run(move |control| async move { control.finish(&ticket, &request, end).await }).await
     }
 
-    /// Chooses a backend server for an attempt.
+    /// Selects a backend server for an attempt.
     ///
     /// # Errors
     ///
@@ -118,7 +118,7 @@
         self.run(move |control| async move { control.place(&program, &route, &tried) }).await?
     }
 
-    /// Returns the placement of an attempt that has ended.
+    /// Releases the placement of an attempt that has ended.
     pub fn release(&self, placement: Placement) {
         let task: ControlTask = Box::new(move |control| {
             control.dispatcher().release(&placement);
@@ -131,16 +131,16 @@
     ///
     /// # Errors
     ///
-    /// Refuses as [`dandelionfront_coordination::Owner::open`] does.
+    /// Refuses as documented at [`dandelionfront_coordination::Owner::open`].
     pub async fn open_program(&self, spec: ProgramSpec) -> Result<ProgramId, Refusal> {
         self.run(move |control| async move { control.open_program(spec).await }).await?
     }
 
-    /// Ends a program served here.
+    /// Ends a program that this node serves.
     ///
     /// # Errors
     ///
-    /// Refuses as [`dandelionfront_coordination::Owner::close`] does.
+    /// Refuses as documented at [`dandelionfront_coordination::Owner::close`].
     pub async fn close_program(
         &self,
         id: ProgramId,
@@ -151,11 +151,11 @@
             .await?
     }
 
-    /// Returns a program served here.
+    /// Returns a program that this node serves.
     ///
     /// # Errors
     ///
-    /// Refuses when the program is unknown or of another team.
+    /// Refuses when the program is unknown or belongs to another team.
     pub async fn program(&self, id: ProgramId, team: Option<String>) -> Result<Program, Refusal> {
         self.run(move |control| async move { control.program(&id, team.as_deref()) }).await?
     }
--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, listeners and planned stop of a node.
+//! Startup, listeners and graceful shutdown of a node.
 
 use std::net::{SocketAddr, TcpListener};
 use std::process::ExitCode;
@@ -32,24 +32,26 @@
 use crate::request::{chat, forwarded, programs, service};
 use crate::settings::Settings;
 
-/// Time between two checks of a planned stop's progress.
+/// Interval between checks whether the graceful shutdown can continue.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for which the listeners stay open after the last call, for the balancer's lag.
+/// Time for which the listeners stay open after the last call, because the load balancer notices
+/// the shutdown late.
 const DRAIN_LINGER: Duration = Duration::from_secs(1);
-/// Longest wait for connections to close once no call is under way; idle ones are cut.
+/// Timeout for connections to close after the last call; then idle connections are dropped.
 const CLOSE_TIMEOUT: Seconds = Seconds(2);
-/// Time for which idle connections of callers and peers are kept.
+/// Time after which idle connections of callers and peers are closed.
 const KEEP_ALIVE: Seconds = Seconds(75);
-/// Longest wait for the platform's connections.
+/// Time after which idle connections of the control thread to the platform and to engines are
+/// closed.
 const PLATFORM_KEEP_ALIVE: Seconds = Seconds(30);
 
-/// A node with open listeners.
+/// Running node with open listeners.
 pub struct RunningNode {
     shared: Arc<Shared>,
     servers: Vec<Server>,
 }
 
-/// Runs a node until it is told to stop.
+/// Runs a node until it receives a stop signal.
 #[must_use]
 pub fn run(settings: Settings) -> ExitCode {
     let system = System::build().name("main").build(ntex::rt::DefaultRuntime);
@@ -73,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// Fails when an address cannot be bound or a thread cannot be started.
+/// Fails when an address cannot be bound or a thread cannot be spawned.
 pub async fn start(mut settings: Settings) -> io::Result<RunningNode> {
     let callers = bind(&mut settings.listen)?;
     let forward = bind(&mut settings.forward_listen)?;
@@ -94,7 +96,7 @@
     Ok(RunningNode { shared, servers })
 }
 
-/// Binds a listener and replaces port 0 by the port that was picked.
+/// Binds a listener and replaces port 0 in `address` with the port that was assigned.
 fn bind(address: &mut SocketAddr) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(*address)
         .map_err(|error| io::Error::new(error.kind(), format!("cannot bind {address}: {error}")))?;
@@ -103,13 +105,13 @@
 }
 
 impl RunningNode {
-    /// Returns the state shared by the node's threads.
+    /// Returns the state that the threads of the node share.
     #[must_use]
     pub fn shared(&self) -> &Arc<Shared> {
         &self.shared
     }
 
-    /// Stops as planned: hands the shards over and waits for every call under way.
+    /// Shuts down gracefully: releases the shards to other nodes and waits for the calls in flight.
     pub async fn stop(self) {
         info!("event=stop_begun");
         self.shared.draining.store(true, Ordering::Relaxed);
@@ -158,11 +160,11 @@
     }
 }
 
-/// Completes at the first request to stop.
+/// Waits for the first SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails when signals cannot be received.
+/// Fails when the signal handlers cannot be installed.
 pub async fn wait_for_stop_signal() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -173,7 +175,7 @@
     Ok(())
 }
 
-/// Starts the control thread.
+/// Spawns the control thread and returns the shared state.
 fn start_control(settings: Settings, peers: TcpListener) -> io::Result<Arc<Shared>> {
     let (control, tasks) = ControlHandle::new();
     let (config_sender, config) = watch::channel(Arc::new(ConfigSnapshot::default()));
@@ -219,7 +221,7 @@
     Ok(shared)
 }
 
-/// Serves control messages of other nodes on the current thread.
+/// Serves the control messages of other nodes on the current thread.
 fn serve_peers(listener: TcpListener, service: PeerService) -> io::Result<ServerHandle> {
     listener.set_nonblocking(true)?;
     let server = ServerBuilder::default().build_from_tcp(listener)?;
@@ -252,10 +254,10 @@
     Ok(server)
 }
 
-/// Largest body between nodes and from operators.
+/// Maximum body size of requests from other nodes and from operators.
 const INTERNAL_BODY_MAX_BYTES: usize = 256 * 1024 * 1024;
 
-/// Registers the handlers of the callers' listener.
+/// Registers the handlers of the listener for callers.
 fn caller_routes(config: &mut web::ServiceConfig) {
     config
         .service(
--- a/crates/daemon/src/process/metrics.rs
+++ b/crates/daemon/src/process/metrics.rs
@@ -5,22 +5,22 @@
 
 use crate::registry::MetricRegistry;
 
-/// Why something was tried again; also the label of the retry counter.
+/// Reason for a retry, which is also a label of the retry counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReason {
-    /// The owner of a program could not be reached.
+    /// The owner of the program could not be reached.
     OwnerUnreachable,
     /// The program was moving between nodes.
     OwnerMoved,
-    /// The connection to the owner broke while a call was running.
+    /// The connection to the owner failed while a call was running.
     OwnerLost,
-    /// A backend server could not be reached.
+    /// The backend server could not be reached.
     BackendUnreachable,
-    /// A backend server refused a request without running it.
+    /// The backend server rejected the request without running it.
     BackendBusy,
-    /// A stream of an engine was cut or silent and was resumed.
+    /// The stream of an engine was interrupted or idle and was resumed.
     StreamResumed,
-    /// An attempt was lost and a repeatable call was run again.
+    /// The outcome of an attempt of a repeatable call is unknown.
     AttemptLost,
 }
 
@@ -34,39 +34,39 @@
     (RetryReason::AttemptLost, "attempt_lost"),
 ];
 
-/// Counters, gauges and histograms of one node.
+/// Metrics of one node.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: MetricRegistry,
     refusals: IntCounterVec,
     retries: IntCounterVec,
-    /// Calls that callers are waiting for.
+    /// Number of calls that callers are waiting for.
     pub calls_in_flight: IntGauge,
-    /// Calls answered.
+    /// Number of calls answered.
     pub calls_answered: IntCounter,
-    /// Time from a call's arrival to its complete answer.
+    /// Time from the arrival of a call to its complete answer.
     pub call_seconds: Histogram,
-    /// Time from the opening of a program to its end.
+    /// Time from the opening to the end of a program.
     pub program_seconds: Histogram,
-    /// Time from a call's arrival to its first token.
+    /// Time from the arrival of a call to its first token.
     pub first_token_seconds: Histogram,
-    /// Time between two tokens of a stream.
+    /// Time between consecutive tokens of a stream.
     pub between_tokens_seconds: Histogram,
     /// Duration of journal commits.
     pub commit_seconds: Histogram,
-    /// Configuration version in force.
+    /// Active configuration version.
     pub config_version: IntGauge,
-    /// Bytes sent on control links that this node opened.
+    /// Bytes sent on peer connections that this node opened.
     pub peer_sent_bytes: IntCounter,
-    /// Bytes received on control links that this node opened.
+    /// Bytes received on peer connections that this node opened.
     pub peer_received_bytes: IntCounter,
-    /// Control messages answered.
+    /// Number of control messages answered.
     pub peer_messages: IntCounter,
-    /// Requests to the platform.
+    /// Number of requests to the platform, by kind.
     pub platform_requests: IntCounterVec,
-    /// Shards held.
+    /// Number of shards that this node owns.
     pub shards: IntGauge,
-    /// Programs held.
+    /// Number of programs that this node owns.
     pub programs: IntGauge,
 }
 
@@ -75,7 +75,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when two metrics share a name, which is a fault of this module.
+    /// Panics when two metrics have the same name, which is a bug in this module.
     #[must_use]
     pub fn new() -> Self {
         let registry = MetricRegistry::default();
@@ -123,13 +123,13 @@
         self.retries.with_label_values(&[retry_label(reason)]).inc();
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.registry.render()).into_owned()
     }
 
-    /// Creates every label, so that a counter exists before its first event.
+    /// Creates the counters of all labels, so that they are exported as 0 before the first event.
     fn init_labels(&self) {
         for kind in RefusalKind::all() {
             self.refusals.with_label_values(&[kind.label()]);
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What lives as long as the process: threads, listeners, shared state, planned stop.
+//! State with the lifetime of the process: threads, listeners, shared state, graceful shutdown.
 
 pub mod clock;
 pub mod control;
--- a/crates/daemon/src/process/platform.rs
+++ b/crates/daemon/src/process/platform.rs
@@ -1,4 +1,4 @@
-//! Adapter to the platform's table service, object store and VM list over HTTP.
+//! HTTP client for the platform's table service, object store and VM list.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 use super::metrics::Metrics;
 use crate::connection::clients::is_never_sent;
 
-/// Platform services over HTTP.
+/// Platform services that are called over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpPlatform {
     base_url: String,
@@ -26,7 +26,7 @@
 }
 
 impl HttpPlatform {
-    /// Creates an adapter for the service at `base_url`.
+    /// Creates a client for the services at `base_url`.
     #[must_use]
     pub fn new(base_url: &str, client: Client, timeout: Duration, metrics: Metrics) -> Self {
         Self { base_url: base_url.to_owned(), client, timeout, metrics }
@@ -87,7 +87,8 @@
     PlatformError::Malformed { detail: error.to_string() }
 }
 
-/// A definite 503 tells that nothing took effect; any other failure leaves that open.
+/// Distinguishes status 503, which guarantees that the request had no effect, from other error
+/// statuses, after which the effect is unknown.
 fn check_status(response: ClientResponse) -> PlatformResult<ClientResponse> {
     match response.status() {
         status if status.is_success() || status == StatusCode::NOT_FOUND => Ok(response),
--- a/crates/daemon/src/process/shared.rs
+++ b/crates/daemon/src/process/shared.rs
@@ -1,4 +1,4 @@
-//! State that the traffic threads share.
+//! State of the worker threads.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -22,29 +22,29 @@
     pub metrics: Metrics,
     /// Clock of the node.
     pub clock: SystemClock,
-    /// Configuration in force.
+    /// Active configuration.
     pub config: watch::Receiver<Arc<ConfigSnapshot>>,
-    /// Way to the control thread.
+    /// Handle of the control thread.
     pub control: ControlHandle,
-    /// Whether the planned stop has begun.
+    /// Whether the graceful shutdown has started.
     pub draining: AtomicBool,
 }
 
 impl Shared {
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     #[must_use]
     pub fn config(&self) -> Arc<ConfigSnapshot> {
         Arc::clone(&self.config.borrow())
     }
 
-    /// Returns whether the planned stop has begun.
+    /// Returns whether the graceful shutdown has started.
     #[must_use]
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
     }
 }
 
-/// State of one traffic thread.
+/// State of one worker thread.
 #[derive(Debug, Clone)]
 pub struct Worker {
     /// State shared by all threads.
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -1,4 +1,4 @@
-//! Registration of metrics and their text format.
+//! Registration and export of Prometheus metrics.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,11 +6,12 @@
     TextEncoder,
 };
 
-/// Upper bounds of the buckets of durations, in seconds; they include the users' targets.
+/// Upper bounds of the histogram buckets for durations, in seconds; they include the users' latency
+/// targets.
 const LATENCY_BUCKETS_S: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.027, 0.05, 0.1, 0.25, 0.5, 1.0, 1.6, 2.5, 5.0, 10.0, 30.0];
 
-/// Metrics of one process, all named with the prefix `dandelionfront_`.
+/// Registry for the metrics of a process; all names get the prefix `dandelionfront_`.
 #[derive(Debug, Clone, Default)]
 pub struct MetricRegistry(Registry);
 
@@ -40,7 +41,7 @@
         self.register(Histogram::with_opts(opts))
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the Prometheus text format.
     #[must_use]
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
@@ -50,7 +51,7 @@
         text
     }
 
-    /// Registers a metric; names and labels are constants, so that a fault shows in any test.
+    /// Registers a metric; names and labels are constants, so any test detects an invalid one.
     fn register<M: Collector + Clone + 'static>(&self, metric: prometheus::Result<M>) -> M {
         let metric = metric.expect("metric names and labels are valid");
         self.0.register(Box::new(metric.clone())).expect("metric names are unique");
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Checked settings of a node.
+//! Validated settings of a node.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -14,69 +14,69 @@
 
 use crate::cli::NodeArgs;
 
-/// A setting that cannot be used.
+/// Invalid value of a setting.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("--{flag} is {value}; {remedy}"))]
 pub struct SettingError {
-    /// Flag without dashes.
+    /// Name of the flag without the leading dashes.
     pub flag: &'static str,
-    /// Value as given.
+    /// Rejected value.
     pub value: String,
-    /// What to set instead.
+    /// Advice on a valid value.
     pub remedy: String,
 }
 
-/// Settings of a node, checked together.
+/// Validated settings of a node.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Address for callers.
     pub listen: SocketAddr,
-    /// Address for forwarded calls.
+    /// Address for calls forwarded by other nodes.
     pub forward_listen: SocketAddr,
-    /// Address for control messages.
+    /// Address for control messages of other nodes.
     pub peer_listen: SocketAddr,
     /// Address for operators.
     pub operator_listen: SocketAddr,
     /// Base URL of the platform.
     pub platform: String,
-    /// Identity towards the fleet.
+    /// Identity of this node in the fleet.
     pub identity: Member,
-    /// Traffic threads.
+    /// Number of worker threads of each listener for calls.
     pub workers: usize,
-    /// Settings of the coordination parts.
+    /// Settings of the coordination library.
     pub node: NodeSettings,
-    /// Longest wait for the platform.
+    /// Timeout of requests to the platform.
     pub platform_timeout: Duration,
-    /// Longest wait for an owner.
+    /// Maximum time to retry until the owner of a program is reachable.
     pub owner_wait: Duration,
-    /// Longest silence of an engine's stream.
+    /// Timeout of requests to engines, and idle timeout of their streams.
     pub engine_silence: Duration,
-    /// Longest wait for a plain service.
+    /// Timeout of calls to plain services.
     pub service_timeout: Duration,
-    /// Longest time that a call goes on without a waiting caller.
+    /// Time after which a call without a waiting caller is cancelled.
     pub abandon_after: Duration,
-    /// Time between two reads of the platform's VM list.
+    /// Interval between reads of the platform's VM list.
     pub vm_poll: Duration,
-    /// Time without a call after which a program is abandoned.
+    /// Time without a call after which a program is ended as abandoned.
     pub program_idle: Duration,
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub body_max_bytes: usize,
-    /// Longest planned stop.
+    /// Maximum time that a graceful shutdown waits for running calls.
     pub drain_max: Duration,
 }
 
 impl Settings {
-    /// Checks the flags together.
+    /// Validates the flags.
     ///
     /// # Errors
     ///
-    /// Returns every fault, each naming its flag and the remedy.
+    /// Returns an error for each invalid setting.
     pub fn from_args(args: &NodeArgs) -> Result<Self, Vec<SettingError>> {
         let errors = check(args);
         if errors.is_empty() { Ok(Self::build(args)) } else { Err(errors) }
     }
 
-    /// Fills in the advertised addresses that are not set, once the listeners are bound.
+    /// Sets the advertised addresses that were not configured to the bound listener addresses.
     pub fn fill_advertised_addresses(&mut self) {
         if self.identity.forward_address.is_empty() {
             self.identity.forward_address = self.forward_listen.to_string();
@@ -176,12 +176,12 @@
     range("body-max-bytes", args.body_max_bytes as u64, 1_024..=67_108_864);
     range("drain-max-s", args.drain_max_s, 1..=3_600);
     if args.dispatch_window_ms <= args.start_commit_wait_ms {
-        let remedy = "set it above --start-commit-wait-ms, so that a committed start can be sent";
+        let remedy =
+            "set it above --start-commit-wait-ms, or a committed call may be too late to dispatch";
         errors.push(setting_error("dispatch-window-ms", args.dispatch_window_ms, remedy));
     }
     if args.suspect_ms < args.heartbeat_ms * 3 {
-        let remedy =
-            "set it to at least three times --heartbeat-ms, so that one loss is no failure";
+        let remedy = "set it to at least three times --heartbeat-ms to tolerate a lost heartbeat";
         errors.push(setting_error("suspect-ms", args.suspect_ms, remedy));
     }
     if !args.platform.starts_with("http://") {
--- a/crates/daemon/src/trial.rs
+++ b/crates/daemon/src/trial.rs
@@ -1,4 +1,4 @@
-//! One node with embedded stand-ins, and a sample program through it.
+//! Runs a sample program through one node, with stand-ins for all other services.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,18 +19,18 @@
 use crate::process::{RunningNode, start, wait_for_stop_signal};
 use crate::settings::Settings;
 
-/// Idempotency key of the sample call that must not run twice.
+/// Idempotency key of the sample call that must run only once.
 const CHECKOUT_KEY: &str = "checkout-1";
-/// Model engines of the trial.
+/// Number of model engines.
 const ENGINES: usize = 2;
-/// Longest wait for the node to serve, in checks of [`READY_CHECK_INTERVAL`].
+/// Maximum number of checks whether the node is ready.
 const READY_CHECKS_MAX: u32 = 200;
-/// Time between two checks.
+/// Interval between checks whether the node is ready.
 const READY_CHECK_INTERVAL: Millis = Millis(25);
-/// Port of callers while the trial serves.
+/// Port for callers when the trial keeps running after the sample program.
 const SERVE_PORT: u16 = 8080;
 
-/// Why the trial failed.
+/// Failure of the trial.
 #[derive(Debug, Snafu)]
 enum TrialError {
     #[snafu(display("cannot start: {source}; check that loopback ports are free"))]
@@ -39,11 +39,12 @@
     Client,
     #[snafu(display("{step}: {detail}"))]
     Step { step: &'static str, detail: String },
-    #[snafu(display("the result is wrong: {detail}"))]
+    #[snafu(display("unexpected result: {detail}"))]
     Wrong { detail: String },
 }
 
-/// Runs the trial; the exit code is 0 only if answers, history and execution counts are right.
+/// Runs the trial; the exit code is 0 only if the answers, the history and the execution counts
+/// are as expected.
 #[must_use]
 pub fn run(args: &TrialArgs) -> ExitCode {
     let system = System::build().name("trial").build(ntex::rt::DefaultRuntime);
@@ -139,7 +140,7 @@
             }
             sleep(READY_CHECK_INTERVAL).await;
         }
-        WrongSnafu { detail: "the node did not settle" }.fail()
+        WrongSnafu { detail: "the node did not become ready in time" }.fail()
     }
 
     async fn issue_key(&self) -> Result<String, TrialError> {
@@ -165,7 +166,10 @@
         println!("call 3, service: execution {}", checkout["execution"]);
         let repeated = self.check_out(key, program).await?;
         println!("call 3 again: execution {}, the recorded answer", repeated["execution"]);
-        ensure!(checkout == repeated, WrongSnafu { detail: "the repeat got another answer" });
+        ensure!(
+            checkout == repeated,
+            WrongSnafu { detail: "the repeated call got a different answer" }
+        );
 
         let path = format!("http://{}/v1/programs/{program}", self.listen());
         let request = self.client.get(path).bearer_auth(key);
@@ -191,7 +195,7 @@
         });
         let completion = send(request, "ask the model", &body).await?;
         let text = completion["choices"][0]["message"]["content"].as_str().unwrap_or_default();
-        ensure!(!text.is_empty(), WrongSnafu { detail: "an empty answer" });
+        ensure!(!text.is_empty(), WrongSnafu { detail: "the answer of the model is empty" });
         Ok(text.to_owned())
     }
 
@@ -208,13 +212,19 @@
         }
         let service_calls = self.record(self.service).await?;
         let counts = (model_calls.len(), service_calls.len());
-        ensure!(counts == (2, 1), WrongSnafu { detail: format!("executions are {counts:?}") });
+        ensure!(
+            counts == (2, 1),
+            WrongSnafu { detail: format!("model and service executions are {counts:?}") }
+        );
         let depends = model_calls.iter().any(|call| call.body.contains(first));
-        ensure!(depends, WrongSnafu { detail: "the second call lacks the first answer" });
+        ensure!(
+            depends,
+            WrongSnafu { detail: "the second call does not contain the first answer" }
+        );
         let shown = model_calls.iter().chain(&service_calls).any(|call| {
             call.body.contains(key) || call.headers.values().any(|value| value.contains(key))
         });
-        ensure!(!shown, WrongSnafu { detail: "a backend server saw the key" });
+        ensure!(!shown, WrongSnafu { detail: "a backend server received the API key" });
         println!("executions: 2 model calls, 1 service call, no key seen");
         Ok(())
     }
@@ -222,8 +232,9 @@
     async fn record(&self, address: SocketAddr) -> Result<Vec<RecordedRequest>, TrialError> {
         let request = self.client.get(format!("http://{address}/standin/record"));
         let record = send(request, "read the record", &Value::Null).await?;
-        serde_json::from_value(record)
-            .map_err(|error| TrialError::Wrong { detail: format!("the record: {error}") })
+        serde_json::from_value(record).map_err(|error| TrialError::Wrong {
+            detail: format!("the record is malformed: {error}"),
+        })
     }
 }
 
@@ -287,10 +298,16 @@
 fn check_history(history: &Value, answers: &[&str]) -> Result<(), TrialError> {
     let calls = history["calls"].as_array().cloned().unwrap_or_default();
     let finished = calls.iter().filter(|call| call["state"] == "finished").count();
-    ensure!(finished == 3, WrongSnafu { detail: format!("{finished} calls are in the history") });
+    ensure!(
+        finished == 3,
+        WrongSnafu { detail: format!("the history has {finished} finished calls") }
+    );
     for (call, answer) in calls.iter().zip(answers) {
         let recorded = call["answer"].as_str().unwrap_or_default();
-        ensure!(recorded.contains(answer), WrongSnafu { detail: "the history has another answer" });
+        ensure!(
+            recorded.contains(answer),
+            WrongSnafu { detail: "the history has a different answer" }
+        );
     }
     Ok(())
 }
