--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -162,7 +162,7 @@
     /// # Errors
     ///
     /// Refuses when the team exceeds its rate and burst.
-    pub async fn acquire(&self, team: &TeamId) -> Result<(), Refusal> {
+    pub async fn acquire_token(&self, team: &TeamId) -> Result<(), Refusal> {
         let config = self.follower.current();
         let Some(limit) = config.team_limit(team) else { return Ok(()) };
         let node = self.node();
@@ -221,7 +221,7 @@
         }))
     }
 
-    /// Opens a program on its parent's shard, or without a parent on any shard of this node.
+    /// Opens a program on its parent's shard, or on any shard of this node if it has no parent.
     ///
     /// # Errors
     ///
--- a/crates/daemon/src/process/handle.rs
+++ b/crates/daemon/src/process/handle.rs
@@ -76,8 +76,8 @@
     /// # Errors
     ///
     /// Refuses when the team exceeds its rate and burst.
-    pub async fn acquire(&self, team: TeamId) -> Result<(), Refusal> {
-        self.run(move |control| async move { control.acquire(&team).await }).await?
+    pub async fn acquire_token(&self, team: TeamId) -> Result<(), Refusal> {
+        self.run(move |control| async move { control.acquire_token(&team).await }).await?
     }
 
     /// Admits a call to a program that this node serves.
--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -117,7 +117,8 @@
         self.shared.draining.store(true, Ordering::Relaxed);
         let deadline = self.shared.clock.monotonic() + self.shared.settings.drain_max;
         self.announce_leaving(deadline).await;
-        while !(self.is_released().await && self.shared.metrics.calls_in_flight.get() == 0) {
+        while !(self.has_released_shards().await && self.shared.metrics.calls_in_flight.get() == 0)
+        {
             if self.shared.clock.monotonic() >= deadline {
                 warn!("event=stop_overdue in_flight={}", self.shared.metrics.calls_in_flight.get());
                 break;
@@ -146,7 +147,7 @@
         }
     }
 
-    async fn is_released(&self) -> bool {
+    async fn has_released_shards(&self) -> bool {
         let released =
             |control: Rc<Control>| async move { control.node().has_released_all_shards() };
         self.shared.control.run(released).await.unwrap_or(true)
--- a/crates/daemon/src/request/answer.rs
+++ b/crates/daemon/src/request/answer.rs
@@ -79,6 +79,6 @@
 
 /// Formats a server-sent event.
 #[must_use]
-pub fn event(data: &str) -> Bytes {
+pub fn sse_event(data: &str) -> Bytes {
     Bytes::from(format!("data: {data}\n\n"))
 }
--- a/crates/daemon/src/request/auth.rs
+++ b/crates/daemon/src/request/auth.rs
@@ -7,7 +7,7 @@
 use ntex::web::HttpRequest;
 use tokio::sync::watch;
 
-/// Team of requests without a key; routes that are open to all accept them.
+/// Team of requests without a key, which only routes that are open to all accept.
 pub const ANONYMOUS_TEAM: &str = "-open-";
 
 const BEARER: &str = "Bearer ";
@@ -22,7 +22,10 @@
 /// # Errors
 ///
 /// Refuses unknown and withdrawn keys, and any request before the first configuration.
-pub fn identify(config: &ConfigSnapshot, request: &HttpRequest) -> Result<Option<Caller>, Refusal> {
+pub fn authenticate(
+    config: &ConfigSnapshot,
+    request: &HttpRequest,
+) -> Result<Option<Caller>, Refusal> {
     if config.version() == 0 {
         return Err(Refusal::not_run(
             RefusalKind::NotReady,
--- a/crates/daemon/src/request/chat.rs
+++ b/crates/daemon/src/request/chat.rs
@@ -11,9 +11,11 @@
 use ntex::util::Bytes;
 use ntex::web::{HttpRequest, HttpResponse, types::Payload, types::State};
 
-use super::answer::{complete, event, event_stream, refusal_json, refuse};
-use super::auth::{KeyGuard, identify};
-use super::routes::{CallIdentity, InFlight, admit_team, read_body, read_identity, route_for};
+use super::answer::{complete, event_stream, refusal_json, refuse, sse_event};
+use super::auth::{KeyGuard, authenticate};
+use super::routes::{
+    CallIdentity, InFlight, acquire_team_token, read_body, read_identity, route_for,
+};
 use super::submit::CallStream;
 use crate::backend::{ChatBody, single_chunk};
 use crate::process::Worker;
@@ -42,7 +44,7 @@
 ) -> Result<(CallRequest, KeyGuard), Refusal> {
     let body = read_body(worker, payload).await?;
     let (call, guard) = prepare(worker, request, &body)?;
-    admit_team(worker, &call).await?;
+    acquire_team_token(worker, &call).await?;
     Ok((call, guard))
 }
 
@@ -52,7 +54,7 @@
     body: &Bytes,
 ) -> Result<(CallRequest, KeyGuard), Refusal> {
     let config = worker.shared.config();
-    let caller = identify(&config, request)?;
+    let caller = authenticate(&config, request)?;
     let chat = ChatBody::parse(body)
         .map_err(|error| Refusal::not_run(RefusalKind::InvalidRequest, error.to_string()))?;
     let route_id = chat.model.clone();
@@ -151,7 +153,7 @@
             };
             match next {
                 CallEvent::Delta(chunk) => {
-                    let bytes = event(&chunk.to_text());
+                    let bytes = sse_event(&chunk.to_text());
                     Some((Ok(bytes), Some((stream, None, in_flight, true))))
                 }
                 CallEvent::Finished(answer) => {
@@ -160,7 +162,7 @@
                 }
                 CallEvent::Refused(refusal) => {
                     metrics.count_refusal(refusal.kind);
-                    Some((Ok(event(&refusal_json(&refusal))), None))
+                    Some((Ok(sse_event(&refusal_json(&refusal))), None))
                 }
             }
         }
@@ -173,8 +175,8 @@
     let mut bytes = Vec::new();
     if !chunks_sent {
         let chunk = single_chunk(&whole.0);
-        bytes.extend_from_slice(&event(&String::from_utf8_lossy(&chunk)));
+        bytes.extend_from_slice(&sse_event(&String::from_utf8_lossy(&chunk)));
     }
-    bytes.extend_from_slice(&event("[DONE]"));
+    bytes.extend_from_slice(&sse_event("[DONE]"));
     Bytes::from(bytes)
 }
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -155,7 +155,7 @@
     let mut sink = FeedSink { worker, ticket, stream: request.stream };
     let result = {
         let generated = engine.generate(&call, &mut sink);
-        let abandoned = std::pin::pin!(wait_abandoned(worker, ticket));
+        let abandoned = std::pin::pin!(wait_until_abandoned(worker, ticket));
         match select(generated, abandoned).await {
             Either::Left((result, _)) => result,
             Either::Right(((), _)) => Err(BackendError::Lost(abandoned_refusal())),
@@ -188,7 +188,7 @@
 }
 
 /// Completes when the call is cancelled or has been without a waiting caller for too long.
-async fn wait_abandoned(worker: &Worker, ticket: &CallTicket) {
+async fn wait_until_abandoned(worker: &Worker, ticket: &CallTicket) {
     let mut since = None;
     loop {
         sleep(ABANDON_CHECK_INTERVAL).await;
--- a/crates/daemon/src/request/forwarded.rs
+++ b/crates/daemon/src/request/forwarded.rs
@@ -13,7 +13,7 @@
 use ntex::util::Bytes;
 use ntex::web::{self, HttpResponse, types::Json, types::State};
 
-use super::answer::event;
+use super::answer::sse_event;
 use super::submit::admit_local;
 use crate::connection::forward::{
     CALL_PATH, KEEP_ALIVE_EVENT, PROGRAM_PATH, ProgramReply, ProgramRequest,
@@ -92,7 +92,7 @@
 }
 
 fn encode(call_event: &CallEvent) -> Bytes {
-    event(&serde_json::to_string(call_event).unwrap_or_default())
+    sse_event(&serde_json::to_string(call_event).unwrap_or_default())
 }
 
 /// Returns a keep-alive event.
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 
 use super::answer::refuse;
-use super::auth::{ANONYMOUS_TEAM, identify, key_missing};
+use super::auth::{ANONYMOUS_TEAM, authenticate, key_missing};
 use super::forwarded::serve_program_request;
 use super::routes::read_body;
 use crate::connection::forward::{
@@ -102,7 +102,7 @@
 ) -> Result<Vec<ProgramId>, Refusal> {
     let home = home_of_program(id).ok_or_else(Refusal::program_unknown)?;
     let close = ProgramRequest::Close { id: id.to_owned(), team, reason };
-    match ask_owner(worker, &home, close).await? {
+    match send_to_owner(worker, &home, close).await? {
         ProgramReply::Closed(ended) => Ok(ended),
         _ => Err(unexpected_owner_reply()),
     }
@@ -119,7 +119,7 @@
     request: ProgramRequest,
 ) -> Result<ProgramView, Refusal> {
     let home = home_of_program(id).ok_or_else(Refusal::program_unknown)?;
-    let ProgramReply::State(program) = ask_owner(worker, &home, request).await? else {
+    let ProgramReply::State(program) = send_to_owner(worker, &home, request).await? else {
         return Err(unexpected_owner_reply());
     };
     let load = move |control: Rc<Control>| async move { view(&control, *program).await };
@@ -129,7 +129,7 @@
 /// Lists the routes that the caller may use.
 pub async fn list_models(worker: State<Rc<Worker>>, request: HttpRequest) -> HttpResponse {
     let config = worker.shared.config();
-    match identify(&config, &request) {
+    match authenticate(&config, &request) {
         Ok(caller) => {
             let team = caller.as_ref().map(|caller| caller.team.as_str());
             let data: Vec<_> = visible_models(&config, team)
@@ -175,13 +175,14 @@
         Some(parent) => home_of_program(parent).ok_or_else(Refusal::program_unknown)?,
         None => new_home(worker).await?,
     };
-    match ask_owner(worker, &home, ProgramRequest::Open(spec)).await? {
+    match send_to_owner(worker, &home, ProgramRequest::Open(spec)).await? {
         ProgramReply::Opened(id) => Ok(id),
         _ => Err(unexpected_owner_reply()),
     }
 }
 
-/// Returns a random home that this node serves, or any home of the region if it serves none.
+/// Returns a home for a new program: a random shard that this node serves, or any shard of the
+/// region if this node serves none.
 async fn new_home(worker: &Worker) -> Result<ProgramHome, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
     let shards = worker.shared.control.run(serving).await?;
@@ -197,13 +198,13 @@
 }
 
 fn require_team(worker: &Worker, request: &HttpRequest) -> Result<String, Refusal> {
-    let caller = identify(&worker.shared.config(), request)?.ok_or_else(key_missing)?;
+    let caller = authenticate(&worker.shared.config(), request)?.ok_or_else(key_missing)?;
     debug_assert_ne!(caller.team, ANONYMOUS_TEAM);
     Ok(caller.team)
 }
 
-/// Sends a program request to the owner of `home`, with retries until the owner timeout.
-async fn ask_owner(
+/// Sends a program request to the owner of `home`; retries until `owner_wait` has elapsed.
+async fn send_to_owner(
     worker: &Worker,
     home: &ProgramHome,
     request: ProgramRequest,
@@ -212,7 +213,7 @@
     let deadline = process.clock.monotonic() + process.settings.owner_wait;
     let mut run = RunState::NotRun;
     loop {
-        let failure = match ask_once(worker, home, &request).await? {
+        let failure = match try_send_to_owner(worker, home, &request).await? {
             Ok(ProgramReply::Refused(refusal)) if refusal.kind == RefusalKind::NotOwner => {
                 RetryReason::OwnerMoved
             }
@@ -236,7 +237,7 @@
     }
 }
 
-async fn ask_once(
+async fn try_send_to_owner(
     worker: &Worker,
     home: &ProgramHome,
     request: &ProgramRequest,
--- a/crates/daemon/src/request/routes.rs
+++ b/crates/daemon/src/request/routes.rs
@@ -94,16 +94,16 @@
     Ok(body.freeze())
 }
 
-/// Takes a rate limit token of the caller's team; to be called once, before any forwarding.
+/// Takes a rate limit token of the caller's team; called once per request, before forwarding.
 ///
 /// # Errors
 ///
 /// Refuses when the team exceeds its rate and burst.
-pub async fn admit_team(worker: &Worker, call: &CallRequest) -> Result<(), Refusal> {
+pub async fn acquire_team_token(worker: &Worker, call: &CallRequest) -> Result<(), Refusal> {
     if call.team == ANONYMOUS_TEAM {
         return Ok(());
     }
-    worker.shared.control.acquire(call.team.clone()).await
+    worker.shared.control.acquire_token(call.team.clone()).await
 }
 
 /// Returns the route of a request and the team that it runs for.
--- a/crates/daemon/src/request/service.rs
+++ b/crates/daemon/src/request/service.rs
@@ -8,8 +8,8 @@
 use ntex::web::{HttpRequest, HttpResponse, types, types::State};
 
 use super::answer::{complete, refuse};
-use super::auth::{KeyGuard, identify};
-use super::routes::{InFlight, admit_team, read_body, read_identity, route_for};
+use super::auth::{KeyGuard, authenticate};
+use super::routes::{InFlight, acquire_team_token, read_body, read_identity, route_for};
 use super::submit::CallStream;
 use crate::process::Worker;
 
@@ -39,7 +39,7 @@
 ) -> Result<(ProgramId, Answer), Refusal> {
     let body = read_body(worker, payload).await?;
     let (call, guard) = prepare(worker, request, &body)?;
-    admit_team(worker, &call).await?;
+    acquire_team_token(worker, &call).await?;
     let mut stream = CallStream::new(worker.clone(), call, guard);
     let answer = stream.outcome().await?;
     Ok((stream.program().to_owned(), answer))
@@ -51,7 +51,7 @@
     body: &Bytes,
 ) -> Result<(CallRequest, KeyGuard), Refusal> {
     let config = worker.shared.config();
-    let caller = identify(&config, request)?;
+    let caller = authenticate(&config, request)?;
     let full_path = request.uri().path_and_query().map_or("", |path| path.as_str());
     let below = full_path.strip_prefix(SERVICES_PATH).unwrap_or_default();
     let (route_id, path) = below.split_at(below.find(['/', '?']).unwrap_or(below.len()));
--- a/crates/daemon/src/trial.rs
+++ b/crates/daemon/src/trial.rs
@@ -40,7 +40,7 @@
     #[snafu(display("{step}: {detail}"))]
     Step { step: &'static str, detail: String },
     #[snafu(display("unexpected result: {detail}"))]
-    Wrong { detail: String },
+    Unexpected { detail: String },
 }
 
 /// Runs the trial; the exit code is 0 only if the answers, the history and the execution counts
@@ -140,7 +140,7 @@
             }
             sleep(READY_CHECK_INTERVAL).await;
         }
-        WrongSnafu { detail: "the node did not become ready in time" }.fail()
+        UnexpectedSnafu { detail: "the node did not become ready in time" }.fail()
     }
 
     async fn issue_key(&self) -> Result<String, TrialError> {
@@ -168,7 +168,7 @@
         println!("call 3 again: execution {}, the recorded answer", repeated["execution"]);
         ensure!(
             checkout == repeated,
-            WrongSnafu { detail: "the repeated call got a different answer" }
+            UnexpectedSnafu { detail: "the repeated call got a different answer" }
         );
 
         let path = format!("http://{}/v1/programs/{program}", self.listen());
@@ -195,7 +195,7 @@
         });
         let completion = send(request, "ask the model", &body).await?;
         let text = completion["choices"][0]["message"]["content"].as_str().unwrap_or_default();
-        ensure!(!text.is_empty(), WrongSnafu { detail: "the answer of the model is empty" });
+        ensure!(!text.is_empty(), UnexpectedSnafu { detail: "the answer of the model is empty" });
         Ok(text.to_owned())
     }
 
@@ -214,17 +214,17 @@
         let counts = (model_calls.len(), service_calls.len());
         ensure!(
             counts == (2, 1),
-            WrongSnafu { detail: format!("model and service executions are {counts:?}") }
+            UnexpectedSnafu { detail: format!("model and service executions are {counts:?}") }
         );
         let depends = model_calls.iter().any(|call| call.body.contains(first));
         ensure!(
             depends,
-            WrongSnafu { detail: "the second call does not contain the first answer" }
+            UnexpectedSnafu { detail: "the second call does not contain the first answer" }
         );
         let shown = model_calls.iter().chain(&service_calls).any(|call| {
             call.body.contains(key) || call.headers.values().any(|value| value.contains(key))
         });
-        ensure!(!shown, WrongSnafu { detail: "a backend server received the API key" });
+        ensure!(!shown, UnexpectedSnafu { detail: "a backend server received the API key" });
         println!("executions: 2 model calls, 1 service call, no key seen");
         Ok(())
     }
@@ -232,7 +232,7 @@
     async fn record(&self, address: SocketAddr) -> Result<Vec<RecordedRequest>, TrialError> {
         let request = self.client.get(format!("http://{address}/standin/record"));
         let record = send(request, "read the record", &Value::Null).await?;
-        serde_json::from_value(record).map_err(|error| TrialError::Wrong {
+        serde_json::from_value(record).map_err(|error| TrialError::Unexpected {
             detail: format!("the record is malformed: {error}"),
         })
     }
@@ -259,7 +259,7 @@
         "--shard-count",
         "16",
     ];
-    Settings::from_args(&Cli::parse_from(args).node).map_err(|errors| TrialError::Wrong {
+    Settings::from_args(&Cli::parse_from(args).node).map_err(|errors| TrialError::Unexpected {
         detail: errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "),
     })
 }
@@ -300,13 +300,13 @@
     let finished = calls.iter().filter(|call| call["state"] == "finished").count();
     ensure!(
         finished == 3,
-        WrongSnafu { detail: format!("the history has {finished} finished calls") }
+        UnexpectedSnafu { detail: format!("the history has {finished} finished calls") }
     );
     for (call, answer) in calls.iter().zip(answers) {
         let recorded = call["answer"].as_str().unwrap_or_default();
         ensure!(
             recorded.contains(answer),
-            WrongSnafu { detail: "the history has a different answer" }
+            UnexpectedSnafu { detail: "the history has a different answer" }
         );
     }
     Ok(())
