--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -41,9 +41,9 @@
 const CLOSE_TIMEOUT: Seconds = Seconds(2);
 /// Time after which idle connections of callers and peers are closed.
 const KEEP_ALIVE: Seconds = Seconds(75);
-/// Time after which idle connections of the control thread to the platform and to engines are
+/// Time after which idle connections from the control thread to the platform and to engines are
 /// closed.
-const PLATFORM_KEEP_ALIVE: Seconds = Seconds(30);
+const CONTROL_CLIENT_KEEP_ALIVE: Seconds = Seconds(30);
 
 /// Running node with open listeners.
 pub struct RunningNode {
@@ -195,11 +195,11 @@
     thread::Builder::new().name("control".to_owned()).spawn(move || {
         let system = System::build().name("control").build(ntex::rt::DefaultRuntime);
         system.block_on(async move {
-            let client = match clients::build(PLATFORM_KEEP_ALIVE).await {
+            let client = match clients::build(CONTROL_CLIENT_KEEP_ALIVE).await {
                 Ok(client) => client,
                 Err(cause) => return error!("event=control_failed cause={cause:?}"),
             };
-            let engine_client = match clients::build(PLATFORM_KEEP_ALIVE).await {
+            let engine_client = match clients::build(CONTROL_CLIENT_KEEP_ALIVE).await {
                 Ok(client) => client,
                 Err(cause) => return error!("event=control_failed cause={cause:?}"),
             };
