--- a/crates/daemon/src/backend/engine.rs
+++ b/crates/daemon/src/backend/engine.rs
@@ -1,4 +1,4 @@
-//! Adapter to model engines.
+//! HTTP client for model engines.
 
 use std::time::Duration;
 
@@ -9,48 +9,48 @@
 use ntex::client::{Client, ClientResponse};
 use ntex::time::timeout;
 
-use super::chat::Assembly;
+use super::chat::CompletionAssembler;
 use super::{BackendAnswer, BackendError};
 use crate::connection::clients::is_never_sent;
 use crate::consts::{DEADLINE_HEADER, JSON, PRIORITY_HEADER, PROGRAM_ID_HEADER, REQUEST_ID_HEADER};
 
-/// Last event of a stream.
+/// Data of the last event of a stream.
 const DONE: &str = "[DONE]";
-/// Times that a cut or silent stream is resumed.
+/// Maximum number of times that an interrupted or idle stream is resumed.
 const RESUMES_MAX: u32 = 3;
 
 /// A completion to generate.
 #[derive(Debug, Clone)]
 pub struct EngineCall {
-    /// Id of the request, for cancel and resume.
+    /// Identifier of the request, needed to resume or cancel it.
     pub request_id: String,
-    /// Program that the request belongs to, for the engine's cache.
+    /// Program that the request belongs to; the engine uses it for its cache.
     pub program: String,
-    /// Priority; lower goes first.
+    /// Scheduling priority; lower values run first.
     pub priority: u32,
-    /// Body to send.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Route's name, shown in the answer.
+    /// Route, which the answer names as its model.
     pub route: String,
 }
 
 /// Receives the progress of a completion.
 pub trait GenerationSink {
-    /// Takes the next part of the stream.
-    fn part(&mut self, data: &str);
+    /// Called with the data of each chunk of the stream.
+    fn on_chunk(&mut self, data: &str);
 
-    /// Learns that the stream was cut or silent and is being resumed.
-    fn resumed(&mut self);
+    /// Called before an interrupted or idle stream is resumed.
+    fn on_resumed(&mut self);
 }
 
-/// What an engine does for a call.
+/// Operations of a model engine.
 #[async_trait(?Send)]
 pub trait ModelEngine {
-    /// Generates a completion; `sink` gets each part of the stream.
+    /// Generates a completion; `sink` receives each chunk of the stream.
     ///
     /// # Errors
     ///
-    /// Fails when the engine cannot be reached, refuses, or its stream cannot be completed.
+    /// Fails when the engine cannot be reached, rejects the request or breaks off the stream.
     async fn generate(
         &self,
         call: &EngineCall,
@@ -60,27 +60,27 @@
     /// Cancels a request.
     async fn cancel(&self, request_id: &str);
 
-    /// Frees the memory held for a program; returns whether the engine confirmed.
+    /// Releases the memory that the engine holds for a program; returns whether it confirmed.
     async fn release(&self, program: &str) -> bool;
 }
 
-/// An engine at one address.
+/// Model engine that is called over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     client: Client,
     base_url: String,
-    silence: Duration,
+    idle_timeout: Duration,
 }
 
 impl HttpEngine {
-    /// Creates an adapter; `silence` bounds the pause between two parts of a stream.
+    /// Creates a client; `idle_timeout` limits the wait for a response and for each chunk.
     #[must_use]
-    pub fn new(client: Client, address: &str, silence: Duration) -> Self {
-        Self { client, base_url: format!("http://{address}"), silence }
+    pub fn new(client: Client, address: &str, idle_timeout: Duration) -> Self {
+        Self { client, base_url: format!("http://{address}"), idle_timeout }
     }
 
     async fn start(&self, call: &EngineCall) -> Result<ClientResponse, BackendError> {
-        let deadline_ms = self.silence.as_millis().to_string();
+        let deadline_ms = self.idle_timeout.as_millis().to_string();
         let request = self
             .client
             .post(format!("{}/v1/chat/completions", self.base_url))
@@ -89,7 +89,7 @@
             .header(PROGRAM_ID_HEADER, call.program.as_str())
             .header(PRIORITY_HEADER, call.priority.to_string())
             .header(DEADLINE_HEADER, deadline_ms);
-        match timeout(self.silence, request.send_body(call.body.clone())).await {
+        match timeout(self.idle_timeout, request.send_body(call.body.clone())).await {
             Ok(Ok(response)) => check_status(response).await,
             Ok(Err(error)) if is_never_sent(&error) => Err(not_run("cannot be reached")),
             Ok(Err(_)) => Err(lost("closed the connection")),
@@ -99,21 +99,21 @@
 
     async fn resume(&self, call: &EngineCall, offset: usize) -> Option<ClientResponse> {
         let url = format!("{}/v1/requests/{}?offset={offset}", self.base_url, call.request_id);
-        let response = timeout(self.silence, self.client.get(url).send()).await.ok()?.ok()?;
+        let response = timeout(self.idle_timeout, self.client.get(url).send()).await.ok()?.ok()?;
         response.status().is_success().then_some(response)
     }
 
-    /// Reads parts until the stream ends; returns whether it ended as announced.
-    async fn read_parts(
+    /// Reads chunks until the stream ends; returns whether it ended with [`DONE`].
+    async fn read_chunks(
         &self,
         response: &ClientResponse,
         state: &mut StreamState<'_>,
     ) -> Result<bool, BackendError> {
         let mut events = response.take_payload().eventsource();
         loop {
-            match timeout(self.silence, events.next()).await {
+            match timeout(self.idle_timeout, events.next()).await {
                 Ok(Some(Ok(event))) if event.data == DONE => return Ok(true),
-                Ok(Some(Ok(event))) => state.take(&event.data)?,
+                Ok(Some(Ok(event))) => state.add_chunk(&event.data)?,
                 Ok(Some(Err(_)) | None) | Err(()) => return Ok(false),
             }
         }
@@ -121,16 +121,16 @@
 }
 
 struct StreamState<'a> {
-    assembly: Assembly,
-    parts: usize,
+    assembler: CompletionAssembler,
+    chunks: usize,
     sink: &'a mut dyn GenerationSink,
 }
 
 impl StreamState<'_> {
-    fn take(&mut self, data: &str) -> Result<(), BackendError> {
-        self.assembly.add(data).map_err(|_| lost("sent a part that is no completion chunk"))?;
-        self.parts += 1;
-        self.sink.part(data);
+    fn add_chunk(&mut self, data: &str) -> Result<(), BackendError> {
+        self.assembler.add(data).map_err(|_| lost("sent a part that is no completion chunk"))?;
+        self.chunks += 1;
+        self.sink.on_chunk(data);
         Ok(())
     }
 }
@@ -143,43 +143,43 @@
         sink: &mut dyn GenerationSink,
     ) -> Result<BackendAnswer, BackendError> {
         let mut response = self.start(call).await?;
-        let mut state = StreamState { assembly: Assembly::default(), parts: 0, sink };
+        let mut state = StreamState { assembler: CompletionAssembler::default(), chunks: 0, sink };
         let mut resumes = 0;
-        while !self.read_parts(&response, &mut state).await? {
+        while !self.read_chunks(&response, &mut state).await? {
             resumes += 1;
             if resumes > RESUMES_MAX {
                 return Err(lost("cut the stream too often"));
             }
-            state.sink.resumed();
+            state.sink.on_resumed();
             response =
-                self.resume(call, state.parts).await.ok_or_else(|| lost("cut the stream"))?;
+                self.resume(call, state.chunks).await.ok_or_else(|| lost("cut the stream"))?;
         }
-        let usage = state.assembly.usage();
-        let (true, Some(usage)) = (state.assembly.is_complete(), usage) else {
+        let usage = state.assembler.usage();
+        let (true, Some(usage)) = (state.assembler.is_complete(), usage) else {
             return Err(lost("ended the stream without a finish reason and usage"));
         };
         let answer = Answer {
             status: 200,
             content_type: JSON.to_owned(),
-            body: Payload(state.assembly.whole(&call.route)),
+            body: Payload(state.assembler.completion(&call.route)),
         };
         Ok(BackendAnswer { answer, usage })
     }
 
     async fn cancel(&self, request_id: &str) {
         let url = format!("{}/v1/requests/{request_id}", self.base_url);
-        let _ = timeout(self.silence, self.client.delete(url).send()).await;
+        let _ = timeout(self.idle_timeout, self.client.delete(url).send()).await;
     }
 
     async fn release(&self, program: &str) -> bool {
         let url = format!("{}/v1/cache/programs/{program}", self.base_url);
-        let sent = timeout(self.silence, self.client.delete(url).send()).await;
+        let sent = timeout(self.idle_timeout, self.client.delete(url).send()).await;
         matches!(sent, Ok(Ok(response)) if response.status().is_success())
     }
 }
 
 async fn check_status(response: ClientResponse) -> Result<ClientResponse, BackendError> {
-    const DETAIL_BYTES: usize = 4096;
+    const DETAIL_MAX_BYTES: usize = 4096;
     let status = response.status();
     if status.is_success() {
         return Ok(response);
@@ -187,7 +187,7 @@
     if status.as_u16() == 503 || status.as_u16() == 429 {
         return Err(not_run("is overloaded"));
     }
-    let body = response.body().limit(DETAIL_BYTES).await.unwrap_or_default();
+    let body = response.body().limit(DETAIL_MAX_BYTES).await.unwrap_or_default();
     if status.is_client_error() {
         let detail = String::from_utf8_lossy(&body);
         return Err(BackendError::NotRun(Refusal::not_run(
--- a/crates/daemon/src/request/chat.rs
+++ b/crates/daemon/src/request/chat.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/chat/completions`.
+//! Handler of `POST /v1/chat/completions`.
 
 use std::rc::Rc;
 
@@ -11,14 +11,16 @@
 use ntex::util::Bytes;
 use ntex::web::{HttpRequest, HttpResponse, types::Payload, types::State};
 
-use super::answer::{complete, event, event_stream, refusal_json, refuse};
-use super::auth::{KeyGuard, identify};
-use super::routes::{CallIdentity, InFlight, admit_team, read_body, read_identity, route_for};
+use super::answer::{complete, event_stream, refusal_json, refuse, sse_event};
+use super::auth::{KeyGuard, authenticate};
+use super::routes::{
+    CallIdentity, InFlight, acquire_team_token, read_body, read_identity, route_for,
+};
 use super::submit::CallStream;
 use crate::backend::{ChatBody, single_chunk};
 use crate::process::Worker;
 
-/// Serves a chat completion.
+/// Handles a chat completion request.
 pub async fn chat_completions(
     worker: State<Rc<Worker>>,
     request: HttpRequest,
@@ -34,7 +36,7 @@
     }
 }
 
-/// Reads and checks a request and takes its team's token.
+/// Reads and validates a request and takes a rate limit token of its team.
 async fn receive(
     worker: &Worker,
     request: &HttpRequest,
@@ -42,7 +44,7 @@
 ) -> Result<(CallRequest, KeyGuard), Refusal> {
     let body = read_body(worker, payload).await?;
     let (call, guard) = prepare(worker, request, &body)?;
-    admit_team(worker, &call).await?;
+    acquire_team_token(worker, &call).await?;
     Ok((call, guard))
 }
 
@@ -52,7 +54,7 @@
     body: &Bytes,
 ) -> Result<(CallRequest, KeyGuard), Refusal> {
     let config = worker.shared.config();
-    let caller = identify(&config, request)?;
+    let caller = authenticate(&config, request)?;
     let chat = ChatBody::parse(body)
         .map_err(|error| Refusal::not_run(RefusalKind::InvalidRequest, error.to_string()))?;
     let route_id = chat.model.clone();
@@ -102,7 +104,8 @@
     })
 }
 
-/// Answers with a stream if the first event is a part, and with a whole body otherwise.
+/// Responds with an event stream or a complete body, as the caller asked; a refusal that comes
+/// before any chunk is a plain error response.
 async fn respond(worker: &Worker, mut stream: CallStream, in_flight: InFlight) -> HttpResponse {
     let metrics = worker.shared.metrics.clone();
     let first = stream.next().await;
@@ -138,41 +141,42 @@
     unfold(state, move |state| {
         let metrics = metrics.clone();
         async move {
-            let (mut stream, first, in_flight, parts_sent) = state?;
-            let begun = clock.monotonic();
+            let (mut stream, first, in_flight, chunks_sent) = state?;
+            let started = clock.monotonic();
             let next = if let Some(event) = first {
                 event
             } else {
                 let next = stream.next().await;
-                let pause = clock.monotonic().saturating_sub(begun);
+                let pause = clock.monotonic().saturating_sub(started);
                 metrics.between_tokens_seconds.observe(pause.as_secs_f64());
                 next
             };
             match next {
-                CallEvent::Delta(part) => {
-                    let bytes = event(&part.to_text());
+                CallEvent::Delta(chunk) => {
+                    let bytes = sse_event(&chunk.to_text());
                     Some((Ok(bytes), Some((stream, None, in_flight, true))))
                 }
                 CallEvent::Finished(answer) => {
                     in_flight.answered();
-                    Some((Ok(last_events(&answer.body, parts_sent)), None))
+                    Some((Ok(last_events(&answer.body, chunks_sent)), None))
                 }
                 CallEvent::Refused(refusal) => {
                     metrics.count_refusal(refusal.kind);
-                    Some((Ok(event(&refusal_json(&refusal))), None))
+                    Some((Ok(sse_event(&refusal_json(&refusal))), None))
                 }
             }
         }
     })
 }
 
-/// Returns the end of a stream; a recorded answer without parts becomes a single one.
-fn last_events(whole: &CallBody, parts_sent: bool) -> Bytes {
+/// Returns the final events of a stream; if no chunk was sent, because the answer was recorded
+/// earlier, the complete answer comes first as a single chunk.
+fn last_events(whole: &CallBody, chunks_sent: bool) -> Bytes {
     let mut bytes = Vec::new();
-    if !parts_sent {
+    if !chunks_sent {
         let chunk = single_chunk(&whole.0);
-        bytes.extend_from_slice(&event(&String::from_utf8_lossy(&chunk)));
+        bytes.extend_from_slice(&sse_event(&String::from_utf8_lossy(&chunk)));
     }
-    bytes.extend_from_slice(&event("[DONE]"));
+    bytes.extend_from_slice(&sse_event("[DONE]"));
     Bytes::from(bytes)
 }
