--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use snafu::ResultExt as _;
 
-use crate::error::{CtlError, FaultySnafu, MalformedSnafu, RefusedSnafu, UnreachableSnafu};
+use crate::error::{CtlError, InvalidObjectsSnafu, MalformedSnafu, RefusedSnafu, UnreachableSnafu};
 
 /// Client of one node.
 #[derive(Debug, Clone)]
@@ -54,7 +54,7 @@
         }
         let error: ErrorBody = serde_json::from_slice(&bytes).context(MalformedSnafu)?;
         if !error.problems.is_empty() {
-            return FaultySnafu { problems: error.problems }.fail();
+            return InvalidObjectsSnafu { problems: error.problems }.fail();
         }
         let message = error.error["message"].as_str().or(error.error.as_str());
         RefusedSnafu { message: message.unwrap_or("the node gave no reason") }.fail()
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -11,11 +11,11 @@
 
 use crate::cli::{BackendCommand, Cli, Command, FileArgs, KeyCommand, ProgramCommand, PublishArgs};
 use crate::client::NodeClient;
-use crate::error::{CtlError, FaultySnafu, ReadFileSnafu};
+use crate::error::{CtlError, InvalidObjectsSnafu, ReadFileSnafu};
 use crate::print;
 
 /// No body.
-const NONE: Option<&()> = None;
+const NO_BODY: Option<&()> = None;
 
 /// Configuration in force as a node shows it.
 #[derive(Debug, Deserialize)]
@@ -37,31 +37,31 @@
             json!({ "objects": objects.len(), "digest": objects.digest() })
         }
         Command::Publish(args) => publish(&client, args)?,
-        Command::Show => client.send("GET", "/v1/config", NONE)?,
-        Command::History => client.send("GET", "/v1/config/history", NONE)?,
+        Command::Show => client.send("GET", "/v1/config", NO_BODY)?,
+        Command::History => client.send("GET", "/v1/config/history", NO_BODY)?,
         Command::Key(KeyCommand::Issue { name, team }) => {
             client.send("POST", "/v1/keys", Some(&json!({ "name": name, "team": team })))?
         }
         Command::Key(KeyCommand::Withdraw { name }) => {
-            client.send("DELETE", &format!("/v1/keys/{name}"), NONE)?
+            client.send("DELETE", &format!("/v1/keys/{name}"), NO_BODY)?
         }
         Command::Backend(BackendCommand::Drain { name }) => {
-            client.send("POST", &format!("/v1/backends/{name}/drain"), NONE)?
+            client.send("POST", &format!("/v1/backends/{name}/drain"), NO_BODY)?
         }
         Command::Program(ProgramCommand::Show { id }) => {
-            client.send("GET", &format!("/v1/programs/{id}"), NONE)?
+            client.send("GET", &format!("/v1/programs/{id}"), NO_BODY)?
         }
         Command::Program(ProgramCommand::Cancel { id }) => {
-            client.send("DELETE", &format!("/v1/programs/{id}"), NONE)?
+            client.send("DELETE", &format!("/v1/programs/{id}"), NO_BODY)?
         }
-        Command::Status => client.send("GET", "/v1/status", NONE)?,
+        Command::Status => client.send("GET", "/v1/status", NO_BODY)?,
     };
     Ok(if cli.json { print::json(&value) } else { print::text(&cli.command, &value) })
 }
 
 fn publish(client: &NodeClient, args: &PublishArgs) -> Result<Value, CtlError> {
     let mut objects = read_objects(&args.files)?;
-    let in_force: ConfigInForce = client.send("GET", "/v1/config", NONE)?;
+    let in_force: ConfigInForce = client.send("GET", "/v1/config", NO_BODY)?;
     if args.keep_keys {
         for (name, key) in in_force.objects.key {
             objects.key.entry(name).or_insert(key);
@@ -89,15 +89,15 @@
 /// Fails when a file cannot be read, and with all faults of the objects.
 pub fn read_objects(args: &FileArgs) -> Result<ObjectSet, CtlError> {
     let mut files = ObjectFiles::default();
-    for path in expand(&args.files)? {
+    for path in expand_folders(&args.files)? {
         let text = fs::read_to_string(&path).context(ReadFileSnafu { path: &path })?;
         files.add(&path.display().to_string(), &text);
     }
-    files.finish().map_err(|problems| FaultySnafu { problems }.build())
+    files.finish().map_err(|problems| InvalidObjectsSnafu { problems }.build())
 }
 
 /// Replaces folders by their object files, in the order of their names.
-fn expand(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CtlError> {
+fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CtlError> {
     let mut files = Vec::new();
     for path in paths {
         if path.is_dir() {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -18,8 +18,8 @@
         source: std::io::Error,
     },
     /// The object files have faults.
-    #[snafu(display("{} faults; mend them and run the command again{}", problems.len(), lines(problems)))]
-    Faulty {
+    #[snafu(display("{} faults; mend them and run the command again{}", problems.len(), problem_lines(problems)))]
+    InvalidObjects {
         /// All faults.
         problems: Vec<Problem>,
     },
@@ -49,6 +49,6 @@
     },
 }
 
-fn lines(problems: &[Problem]) -> String {
+fn problem_lines(problems: &[Problem]) -> String {
     problems.iter().fold(String::new(), |text, problem| text + "\n  " + &problem.to_string())
 }
--- a/crates/ctl/src/print.rs
+++ b/crates/ctl/src/print.rs
@@ -64,22 +64,22 @@
     let mut text = String::new();
     for (field, content) in value.as_object().into_iter().flatten() {
         if field != "members" {
-            let _ = writeln!(text, "{field}: {}", plain(content));
+            let _ = writeln!(text, "{field}: {}", unquoted(content));
         }
     }
     for member in value["members"].as_array().into_iter().flatten() {
         let _ = writeln!(
             text,
             "member {} {} {} {}",
-            plain(&member["id"]),
-            plain(&member["zone"]),
-            plain(&member["state"]),
-            plain(&member["forward_address"])
+            unquoted(&member["id"]),
+            unquoted(&member["zone"]),
+            unquoted(&member["state"]),
+            unquoted(&member["forward_address"])
         );
     }
     text
 }
 
-fn plain(value: &Value) -> String {
+fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/daemon/tests/support/site.rs
+++ b/crates/daemon/tests/support/site.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use dandelionfront_standins::site::{Runner, RunnerSettings, SiteStore};
+use dandelionfront_standins::site::{MetadataStore, Runner, RunnerSettings};
 use ntex::client::ClientRequest;
 use serde_json::{Value, json};
 
@@ -143,9 +143,9 @@
     pub async fn start(nodes: usize) -> Self {
         let http = Http::new().await;
         let any = "127.0.0.1:0".parse().expect("valid");
-        let store = SiteStore::spawn(any).expect("starts").to_string();
-        let runner = |id: &str, step_ms| {
-            let settings = RunnerSettings { id: id.to_owned(), events: EVENTS, step_ms };
+        let store = MetadataStore::spawn(any).expect("starts").to_string();
+        let runner = |id: &str, delay_ms| {
+            let settings = RunnerSettings { id: id.to_owned(), event_count: EVENTS, delay_ms };
             let address = Runner::spawn(any, settings).expect("starts").to_string();
             SiteRunner { id: id.to_owned(), address }
         };
@@ -261,7 +261,7 @@
     pub async fn start_slow_engine(&self) -> SiteRunner {
         let any = "127.0.0.1:0".parse().expect("valid");
         let id = "engine-slow".to_owned();
-        let settings = RunnerSettings { id: id.clone(), events: EVENTS, step_ms: 1_000 };
+        let settings = RunnerSettings { id: id.clone(), event_count: EVENTS, delay_ms: 1_000 };
         let address = Runner::spawn(any, settings).expect("starts").to_string();
         for engine in &self.engines {
             self.put_row("servers", &engine.id, None).await;
--- a/crates/standins/examples/platform.rs
+++ b/crates/standins/examples/platform.rs
@@ -15,5 +15,5 @@
 
 fn main() -> std::io::Result<()> {
     let address = Platform::spawn(Cli::parse().listen)?;
-    dandelionfront_standins::http::announce_and_park(address);
+    dandelionfront_standins::http::print_address_and_park(address);
 }
--- a/crates/standins/examples/proxy.rs
+++ b/crates/standins/examples/proxy.rs
@@ -23,5 +23,5 @@
     let cli = Cli::parse();
     let (address, control) = FaultProxy::spawn(cli.listen, cli.control, cli.target)?;
     println!("control={control}");
-    dandelionfront_standins::http::announce_and_park(address);
+    dandelionfront_standins::http::print_address_and_park(address);
 }
--- a/crates/standins/examples/service.rs
+++ b/crates/standins/examples/service.rs
@@ -18,5 +18,5 @@
 fn main() -> std::io::Result<()> {
     let cli = Cli::parse();
     let address = Service::spawn(cli.listen, cli.settings)?;
-    dandelionfront_standins::http::announce_and_park(address);
+    dandelionfront_standins::http::print_address_and_park(address);
 }
--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -9,7 +9,7 @@
 use futures_util::future::LocalBoxFuture;
 
 /// Turns that other tasks get before a sleep ends.
-const YIELDS: usize = 100;
+const YIELDS_PER_SLEEP: usize = 100;
 
 /// Clock for tests of the coordination library: a sleep lets others run and then advances it.
 #[derive(Debug, Clone, Default)]
@@ -34,7 +34,7 @@
     fn sleep(&self, duration: Duration) -> LocalBoxFuture<'static, ()> {
         let now = Rc::clone(&self.0);
         async move {
-            for _ in 0..YIELDS {
+            for _ in 0..YIELDS_PER_SLEEP {
                 tokio::task::yield_now().await;
             }
             now.set(now.get() + duration);
--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -94,7 +94,7 @@
                 .route(web::put().to(import_cache))
                 .route(web::delete().to(release_cache)),
         )
-        .service(web::resource("/v1/orders").route(web::post().to(take_order)))
+        .service(web::resource("/v1/orders").route(web::post().to(accept_order)))
         .service(web::resource("/standin/record").route(web::get().to(get_record)))
         .service(web::resource("/standin/memory").route(web::get().to(get_memory)))
         .service(web::resource("/standin/faults").route(web::put().to(put_faults)));
@@ -123,10 +123,10 @@
     lock(&engine.streams).insert(id, Arc::clone(&feed));
     let stream = chat.stream;
     ntex::rt::spawn(generate(Arc::clone(&engine), chat, recorded, Arc::clone(&feed)));
-    if stream { stream_from(&engine, &feed, 0) } else { whole_answer(&feed).await }
+    if stream { stream_from(&engine, &feed, 0) } else { non_streaming_response(&feed).await }
 }
 
-async fn whole_answer(feed: &Arc<CallFeed>) -> HttpResponse {
+async fn non_streaming_response(feed: &Arc<CallFeed>) -> HttpResponse {
     let mut reader = feed.reader();
     loop {
         match reader.next().await {
@@ -176,7 +176,7 @@
     let prompt_tokens = text::tokens(&prompt);
     let priority = recorded.header("priority").and_then(|value| value.parse().ok()).unwrap_or(0);
     let program = recorded.header("program-id").unwrap_or("anonymous").to_owned();
-    let slot = engine.batch.enter(priority).await;
+    let slot = engine.batch.acquire_slot(priority).await;
     if feed.is_closed() {
         return;
     }
@@ -193,7 +193,7 @@
     let count = text::completion_tokens(&prompt, chat.max_tokens.unwrap_or(u64::MAX));
     let id = format!("chatcmpl-{hash:016x}");
     let mut answer = String::new();
-    let mut unread_ms = 0;
+    let mut without_reader_ms = 0;
     for index in 0..count {
         if feed.is_closed() {
             return;
@@ -204,9 +204,12 @@
             chunk(&id, &chat.model, &json!({"role": "assistant", "content": token}), None, None);
         feed.push(Payload::from(chunk.to_string().as_str()));
         sleep(Millis(engine.settings.token_interval_ms)).await;
-        unread_ms =
-            if feed.reader_count() > 0 { 0 } else { unread_ms + engine.settings.token_interval_ms };
-        if unread_ms > engine.settings.resume_grace_ms {
+        without_reader_ms = if feed.reader_count() > 0 {
+            0
+        } else {
+            without_reader_ms + engine.settings.token_interval_ms
+        };
+        if without_reader_ms > engine.settings.resume_grace_ms {
             feed.close(Err(Refusal::outcome_unknown()));
             return;
         }
@@ -220,7 +223,7 @@
     });
     let last = chunk(&id, &chat.model, &json!({}), Some("stop"), Some(&usage));
     feed.push(Payload::from(last.to_string().as_str()));
-    let whole = json!({
+    let completion = json!({
         "id": id, "object": "chat.completion", "created": 0, "model": chat.model,
         "choices": [{
             "index": 0,
@@ -229,7 +232,7 @@
         }],
         "usage": usage,
     });
-    let body = Payload::from(whole.to_string().as_str());
+    let body = Payload::from(completion.to_string().as_str());
     feed.close(Ok(Answer { status: 200, content_type: "application/json".to_owned(), body }));
 }
 
@@ -307,7 +310,7 @@
     HttpResponse::Ok().json(&json!({"freed_tokens": freed}))
 }
 
-async fn take_order(engine: Shared, order: Json<Order>) -> HttpResponse {
+async fn accept_order(engine: Shared, order: Json<Order>) -> HttpResponse {
     let mut newest = lock(&engine.fencing_number);
     if order.fencing_number < *newest && !engine.settings.ignore_fencing {
         return HttpResponse::Conflict().json(&json!({"newest": *newest}));
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -34,9 +34,9 @@
 }
 
 /// Removes a waiting request that is dropped before it gets a slot.
-struct Waiting<'a>(&'a Batch, (u32, u64));
+struct WaitingGuard<'a>(&'a Batch, (u32, u64));
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         lock(&self.0.queue).waiting.remove(&self.1);
     }
@@ -49,7 +49,7 @@
     }
 
     /// Waits for a slot; lower `priority` goes first.
-    pub async fn enter(&self, priority: u32) -> SlotGuard<'_> {
+    pub async fn acquire_slot(&self, priority: u32) -> SlotGuard<'_> {
         let ticket = {
             let mut queue = lock(&self.queue);
             queue.arrivals += 1;
@@ -57,7 +57,7 @@
             queue.waiting.insert(ticket);
             ticket
         };
-        let waiting = Waiting(self, ticket);
+        let waiting = WaitingGuard(self, ticket);
         loop {
             let changed = self.changed.notified();
             {
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -10,7 +10,7 @@
 /// Tokens in one block.
 const BLOCK_TOKENS: usize = 16;
 /// Every event whose number is a multiple of this is never published.
-const EVENT_GAP: u64 = 7;
+const UNPUBLISHED_EVENT_INTERVAL: u64 = 7;
 
 /// Change of the cache as published to schedulers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 pub struct PrefixCache {
     capacity_blocks: usize,
     blocks: HashMap<u64, Block>,
-    clock: u64,
+    tick: u64,
     events: Vec<CacheEvent>,
 }
 
@@ -46,29 +46,29 @@
     #[must_use]
     pub fn new(capacity_tokens: u64) -> Self {
         let capacity_blocks = usize::try_from(capacity_tokens).unwrap_or(usize::MAX) / BLOCK_TOKENS;
-        Self { capacity_blocks, blocks: HashMap::new(), clock: 0, events: Vec::new() }
+        Self { capacity_blocks, blocks: HashMap::new(), tick: 0, events: Vec::new() }
     }
 
     /// Returns how many leading tokens of `prompt` are cached.
     pub fn lookup(&mut self, prompt: &[&str]) -> u64 {
-        self.clock += 1;
-        let clock = self.clock;
+        self.tick += 1;
+        let tick = self.tick;
         let hits = block_hashes(prompt)
             .into_iter()
-            .map_while(|hash| self.blocks.get_mut(&hash).map(|block| block.last_used = clock));
+            .map_while(|hash| self.blocks.get_mut(&hash).map(|block| block.last_used = tick));
         (hits.count() * BLOCK_TOKENS) as u64
     }
 
     /// Keeps the blocks of `prompt` for `program`, evicting the least recently used ones.
     pub fn insert(&mut self, program: &str, prompt: &[&str]) {
-        self.clock += 1;
+        self.tick += 1;
         for hash in block_hashes(prompt) {
-            let clock = self.clock;
+            let tick = self.tick;
             let block = self
                 .blocks
                 .entry(hash)
-                .or_insert_with(|| Block { programs: BTreeSet::new(), last_used: clock });
-            block.last_used = clock;
+                .or_insert_with(|| Block { programs: BTreeSet::new(), last_used: tick });
+            block.last_used = tick;
             block.programs.insert(program.to_owned());
         }
         while self.blocks.len() > self.capacity_blocks {
@@ -106,7 +106,8 @@
     #[must_use]
     pub fn events_after(&self, number: u64, lag_ms: u64) -> Vec<CacheEvent> {
         let visible_until = unix_ms().saturating_sub(lag_ms);
-        let published = self.events.iter().filter(|event| event.number % EVENT_GAP != 0);
+        let published =
+            self.events.iter().filter(|event| event.number % UNPUBLISHED_EVENT_INTERVAL != 0);
         let due = published.filter(|event| event.changed_unix_ms <= visible_until);
         due.filter(|event| event.number > number).cloned().collect()
     }
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -12,9 +12,10 @@
 
 /// Returns the number of tokens to generate; a word `tokens=N` in the prompt asks for N.
 pub fn completion_tokens(prompt: &str, max_tokens: u64) -> u64 {
-    let asked = prompt.split_whitespace().rev().find_map(|word| word.strip_prefix("tokens="));
-    let asked = asked.and_then(|count| count.parse().ok()).unwrap_or(DEFAULT_COMPLETION_TOKENS);
-    asked.min(max_tokens).max(1)
+    let requested = prompt.split_whitespace().rev().find_map(|word| word.strip_prefix("tokens="));
+    let requested =
+        requested.and_then(|count| count.parse().ok()).unwrap_or(DEFAULT_COMPLETION_TOKENS);
+    requested.min(max_tokens).max(1)
 }
 
 /// Returns the token at `index` of the completion of a prompt.
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -22,16 +22,16 @@
 
 /// Applies the faults in force to each call.
 #[derive(Debug, Default)]
-pub struct FaultGate(Mutex<StoreFaults>);
+pub struct FaultInjector(Mutex<StoreFaults>);
 
-impl FaultGate {
+impl FaultInjector {
     /// Sets the faults.
     pub fn set(&self, faults: StoreFaults) {
         *lock(&self.0) = faults;
     }
 
     /// Delays a call and returns the answer that an outage gives to it.
-    pub async fn pass(&self) -> Option<HttpResponse> {
+    pub async fn intercept(&self) -> Option<HttpResponse> {
         let faults = lock(&self.0).clone();
         if faults.delay_ms > 0 {
             sleep(Millis(faults.delay_ms)).await;
@@ -40,13 +40,13 @@
     }
 
     /// Returns whether the answer to a transaction is lost, and counts it.
-    pub fn loses_answer(&self) -> bool {
-        take(&mut lock(&self.0).lose_answers)
+    pub fn consume_lost_answer(&self) -> bool {
+        consume_one(&mut lock(&self.0).lose_answers)
     }
 }
 
 /// Counts one down; returns whether any was left.
-pub fn take(count: &mut u32) -> bool {
+pub fn consume_one(count: &mut u32) -> bool {
     let is_left = *count > 0;
     *count = count.saturating_sub(1);
     is_left
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -95,7 +95,7 @@
 const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
 
 /// Prints the bound address for whoever started the program and serves until it is killed.
-pub fn announce_and_park(address: SocketAddr) -> ! {
+pub fn print_address_and_park(address: SocketAddr) -> ! {
     println!("listening={address}");
     loop {
         thread::park();
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -10,7 +10,7 @@
 use ntex::web::{self, HttpRequest, HttpResponse, types::Json, types::Query, types::State};
 use serde::{Deserialize, Serialize};
 
-use crate::faults::{FaultGate, StoreFaults};
+use crate::faults::{FaultInjector, StoreFaults};
 use crate::http::serve;
 use crate::table::MemoryTable;
 
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub struct Platform {
     memory: Arc<MemoryTable>,
-    faults: FaultGate,
+    faults: FaultInjector,
     stats: PlatformStats,
 }
 
@@ -65,16 +65,16 @@
 type Shared = State<Arc<Platform>>;
 
 async fn get_row(platform: Shared, query: Query<KeyQuery>) -> HttpResponse {
-    if let Some(fault) = platform.faults.pass().await {
-        return fault;
+    if let Some(response) = platform.faults.intercept().await {
+        return response;
     }
     platform.stats.reads.fetch_add(1, Ordering::Relaxed);
     HttpResponse::Ok().json(&platform.memory.read(query.table, &query.key))
 }
 
 async fn get_rows(platform: Shared, query: Query<ScanQuery>) -> HttpResponse {
-    if let Some(fault) = platform.faults.pass().await {
-        return fault;
+    if let Some(response) = platform.faults.intercept().await {
+        return response;
     }
     platform.stats.reads.fetch_add(1, Ordering::Relaxed);
     let rows = platform.memory.read_range(query.table, &query.prefix, &query.after, query.limit);
@@ -82,12 +82,12 @@
 }
 
 async fn transact(platform: Shared, transaction: Json<Transaction>) -> HttpResponse {
-    if let Some(fault) = platform.faults.pass().await {
-        return fault;
+    if let Some(response) = platform.faults.intercept().await {
+        return response;
     }
     platform.stats.writes.fetch_add(1, Ordering::Relaxed);
     let outcome = platform.memory.apply(&transaction);
-    if platform.faults.loses_answer() {
+    if platform.faults.consume_lost_answer() {
         return HttpResponse::GatewayTimeout().force_close().finish();
     }
     HttpResponse::Ok().json(&outcome)
@@ -98,8 +98,8 @@
 }
 
 async fn get_object(platform: Shared, request: HttpRequest) -> HttpResponse {
-    if let Some(fault) = platform.faults.pass().await {
-        return fault;
+    if let Some(response) = platform.faults.intercept().await {
+        return response;
     }
     platform.stats.objects.fetch_add(1, Ordering::Relaxed);
     match platform.memory.get_object(&object_key(&request)) {
@@ -109,8 +109,8 @@
 }
 
 async fn put_object(platform: Shared, request: HttpRequest, body: Bytes) -> HttpResponse {
-    if let Some(fault) = platform.faults.pass().await {
-        return fault;
+    if let Some(response) = platform.faults.intercept().await {
+        return response;
     }
     platform.stats.objects.fetch_add(1, Ordering::Relaxed);
     platform.memory.put_object(&object_key(&request), body.to_vec());
@@ -118,16 +118,16 @@
 }
 
 async fn delete_object(platform: Shared, request: HttpRequest) -> HttpResponse {
-    if let Some(fault) = platform.faults.pass().await {
-        return fault;
+    if let Some(response) = platform.faults.intercept().await {
+        return response;
     }
     platform.memory.delete_object(&object_key(&request));
     HttpResponse::NoContent().finish()
 }
 
 async fn get_vms(platform: Shared) -> HttpResponse {
-    if let Some(fault) = platform.faults.pass().await {
-        return fault;
+    if let Some(response) = platform.faults.intercept().await {
+        return response;
     }
     HttpResponse::Ok().json(&platform.memory.list_vms())
 }
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -37,7 +37,7 @@
 pub struct FaultProxy {
     target: SocketAddr,
     faults: Mutex<ProxyFaults>,
-    epoch: watch::Sender<u64>,
+    generation: watch::Sender<u64>,
 }
 
 impl FaultProxy {
@@ -52,7 +52,7 @@
         target: SocketAddr,
     ) -> io::Result<(SocketAddr, SocketAddr)> {
         let proxy =
-            Arc::new(Self { target, faults: Mutex::default(), epoch: watch::Sender::new(0) });
+            Arc::new(Self { target, faults: Mutex::default(), generation: watch::Sender::new(0) });
         let listener = std::net::TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
@@ -70,7 +70,7 @@
     /// Sets the faults; `silence_open` and `close_open` act on the connections open now.
     pub fn set_faults(&self, faults: ProxyFaults) {
         *lock(&self.faults) = faults;
-        self.epoch.send_modify(|epoch| *epoch += 1);
+        self.generation.send_modify(|generation| *generation += 1);
     }
 }
 
@@ -86,12 +86,12 @@
         if lock(&proxy.faults).refuse {
             continue;
         }
-        tokio::spawn(connect(Arc::clone(&proxy), caller));
+        tokio::spawn(relay(Arc::clone(&proxy), caller));
     }
 }
 
-async fn connect(proxy: Arc<FaultProxy>, caller: TcpStream) {
-    let opened = *proxy.epoch.borrow();
+async fn relay(proxy: Arc<FaultProxy>, caller: TcpStream) {
+    let opened_generation = *proxy.generation.borrow();
     let Ok(target) = TcpStream::connect(proxy.target).await else {
         return;
     };
@@ -99,13 +99,14 @@
     let _ = target.set_nodelay(true);
     let (caller_read, caller_write) = caller.into_split();
     let (target_read, target_write) = target.into_split();
-    let mut epoch = proxy.epoch.subscribe();
-    let to_target = pump(&proxy, opened, caller_read, target_write, false);
-    let to_caller = pump(&proxy, opened, target_read, caller_write, true);
-    let closed = async {
+    let mut generation = proxy.generation.subscribe();
+    let to_target = forward(&proxy, opened_generation, caller_read, target_write, false);
+    let to_caller = forward(&proxy, opened_generation, target_read, caller_write, true);
+    let close_requested = async {
         loop {
-            let close = lock(&proxy.faults).close_open && *epoch.borrow_and_update() > opened;
-            if close || epoch.changed().await.is_err() {
+            let must_close = lock(&proxy.faults).close_open
+                && *generation.borrow_and_update() > opened_generation;
+            if must_close || generation.changed().await.is_err() {
                 return;
             }
         }
@@ -113,36 +114,36 @@
     tokio::select! {
         () = to_target => {}
         () = to_caller => {}
-        () = closed => {}
+        () = close_requested => {}
     }
 }
 
-async fn pump(
+async fn forward(
     proxy: &FaultProxy,
-    opened: u64,
+    opened_generation: u64,
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
-    counts: bool,
+    can_cut: bool,
 ) {
     const CHUNK_BYTES: usize = 16 * 1024;
     let mut chunk = vec![0; CHUNK_BYTES];
-    let mut passed_bytes = 0;
+    let mut forwarded_bytes = 0;
     while let Ok(read_bytes @ 1..) = from.read(&mut chunk).await {
         let faults = lock(&proxy.faults).clone();
-        let old = *proxy.epoch.borrow() > opened;
-        if faults.silence_all || faults.silence_open && old {
+        let predates_faults = *proxy.generation.borrow() > opened_generation;
+        if faults.silence_all || faults.silence_open && predates_faults {
             continue;
         }
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
-        let limit = faults.cut_after_bytes.filter(|_| counts).unwrap_or(usize::MAX);
-        let allowed = read_bytes.min(limit.saturating_sub(passed_bytes));
+        let limit = faults.cut_after_bytes.filter(|_| can_cut).unwrap_or(usize::MAX);
+        let allowed = read_bytes.min(limit.saturating_sub(forwarded_bytes));
         if to.write_all(&chunk[..allowed]).await.is_err() {
             return;
         }
-        passed_bytes += allowed;
-        if passed_bytes >= limit {
+        forwarded_bytes += allowed;
+        if forwarded_bytes >= limit {
             return;
         }
     }
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -8,7 +8,7 @@
     RowChange, RowStore, RowStoreError, RowWrite, VersionedRow, WriteOutcome,
 };
 
-use crate::faults::take;
+use crate::faults::consume_one;
 use crate::http::lock;
 
 /// Table, part and key of a row.
@@ -32,7 +32,7 @@
     history: Vec<(RowName, u64)>,
     version: u64,
     /// Changes up to this version are forgotten.
-    forgotten: u64,
+    truncated_version: u64,
 }
 
 /// Writes and removals of one transaction.
@@ -84,7 +84,7 @@
     /// Returns the rows of `table` changed after `version`, or `None` when they are forgotten.
     #[must_use]
     pub fn changes(&self, table: &str, version: u64) -> Option<Vec<RowChange>> {
-        if version < self.forgotten {
+        if version < self.truncated_version {
             return None;
         }
         let mut newest: BTreeMap<u64, &RowName> = BTreeMap::new();
@@ -108,8 +108,8 @@
     }
 
     /// Forgets all changes up to now.
-    pub fn forget_history(&mut self) {
-        self.forgotten = self.version;
+    pub fn truncate_history(&mut self) {
+        self.truncated_version = self.version;
     }
 
     /// Returns the newest version.
@@ -139,7 +139,7 @@
         *lock(&self.writes)
     }
 
-    fn check(&self) -> Result<(), RowStoreError> {
+    fn check_available(&self) -> Result<(), RowStoreError> {
         if lock(&self.faults).outage {
             return Err(RowStoreError::Refused { status: 503 });
         }
@@ -155,23 +155,23 @@
         part: &str,
         key: &str,
     ) -> Result<Option<VersionedRow>, RowStoreError> {
-        self.check()?;
+        self.check_available()?;
         let name = (table.to_owned(), part.to_owned(), key.to_owned());
         Ok(lock(&self.table).rows.get(&name).cloned())
     }
 
     async fn write(&self, write: RowWrite<'_>) -> Result<WriteOutcome, RowStoreError> {
-        self.check()?;
+        self.check_available()?;
         *lock(&self.writes) += 1;
-        let lost = RowStoreError::AnswerLost { detail: "fault".to_owned() };
-        if take(&mut lock(&self.faults).lose_writes) {
-            return Err(lost);
+        let answer_lost = RowStoreError::AnswerLost { detail: "fault".to_owned() };
+        if consume_one(&mut lock(&self.faults).lose_writes) {
+            return Err(answer_lost);
         }
         let name = (write.table.to_owned(), write.part.to_owned(), write.key.to_owned());
         let updates = vec![(name.clone(), write.value.map(<[u8]>::to_vec))];
         let outcome = lock(&self.table).transact(&[(name, write.expected_version)], updates);
-        if take(&mut lock(&self.faults).lose_answers) {
-            return Err(lost);
+        if consume_one(&mut lock(&self.faults).lose_answers) {
+            return Err(answer_lost);
         }
         Ok(match outcome {
             Ok(version) => WriteOutcome::Written(version),
--- a/crates/standins/src/site/mod.rs
+++ b/crates/standins/src/site/mod.rs
@@ -4,4 +4,4 @@
 pub mod store;
 
 pub use runner::{Runner, RunnerFaults, RunnerSettings};
-pub use store::SiteStore;
+pub use store::MetadataStore;
--- a/crates/standins/src/site/runner.rs
+++ b/crates/standins/src/site/runner.rs
@@ -21,9 +21,9 @@
     /// Identifier that requests expect.
     pub id: String,
     /// Events of a stream.
-    pub events: u64,
+    pub event_count: u64,
     /// Time before each event, or before a plain answer.
-    pub step_ms: u32,
+    pub delay_ms: u32,
 }
 
 /// Faults that a backend server shows.
@@ -66,12 +66,12 @@
     }
 
     /// Counts one of the faults down; returns whether it strikes.
-    fn strikes(&self, fault: impl Fn(&mut RunnerFaults) -> &mut u32) -> bool {
+    fn consume_fault(&self, fault: impl Fn(&mut RunnerFaults) -> &mut u32) -> bool {
         let mut faults = lock(&self.faults);
-        let left = fault(&mut faults);
-        let strikes = *left > 0;
-        *left = left.saturating_sub(1);
-        strikes
+        let remaining = fault(&mut faults);
+        let is_active = *remaining > 0;
+        *remaining = remaining.saturating_sub(1);
+        is_active
     }
 }
 
@@ -95,9 +95,9 @@
 }
 
 /// Counts a stream until it is dropped.
-struct OpenStream(Shared);
+struct OpenStreamGuard(Shared);
 
-impl Drop for OpenStream {
+impl Drop for OpenStreamGuard {
     fn drop(&mut self) {
         self.0.open_streams.fetch_sub(1, Ordering::Relaxed);
     }
@@ -119,7 +119,7 @@
             .header("instance-id", runner.settings.id.clone())
             .finish();
     }
-    if runner.strikes(|faults| &mut faults.refuse) {
+    if runner.consume_fault(|faults| &mut faults.refuse) {
         return HttpResponse::ServiceUnavailable().header("not-executed", "1").finish();
     }
     let path = request.uri().path_and_query().map_or("", |path| path.as_str());
@@ -130,42 +130,45 @@
         record.push(RecordedRequest::new(number, method, path, request.headers(), &body));
         number
     };
-    if runner.strikes(|faults| &mut faults.lose_answers) {
-        return cut();
+    if runner.consume_fault(|faults| &mut faults.lose_answers) {
+        return truncated_response();
     }
-    let echoed =
-        if runner.strikes(|faults| &mut faults.answer_foreign) { "other".to_owned() } else { id };
+    let answered_id = if runner.consume_fault(|faults| &mut faults.answer_foreign) {
+        "other".to_owned()
+    } else {
+        id
+    };
     let mut response = HttpResponse::Ok();
-    response.header("request-id", echoed);
+    response.header("request-id", answered_id);
     response.header("server-seal", format!("{}.{number}", runner.settings.id));
     if path.contains("/stream/") {
-        let first = header("last-event-id").parse::<u64>().unwrap_or_default() + 1;
-        return stream(runner, response, first);
+        let first_id = header("last-event-id").parse::<u64>().unwrap_or_default() + 1;
+        return stream(runner, response, first_id);
     }
-    sleep(Millis(runner.settings.step_ms)).await;
+    sleep(Millis(runner.settings.delay_ms)).await;
     response.json(&json!({ "server": runner.settings.id, "execution": number }))
 }
 
 /// Ends the connection without a whole answer.
-fn cut() -> HttpResponse {
+fn truncated_response() -> HttpResponse {
     let error = futures_util::stream::once(async { Err::<Bytes, _>(io::Error::other("cut")) });
     HttpResponse::Ok().streaming(Box::pin(error))
 }
 
-fn stream(runner: Shared, mut response: web::HttpResponseBuilder, first: u64) -> HttpResponse {
-    let is_cut = runner.strikes(|faults| &mut faults.cut_streams);
-    let last = if is_cut { first + 1 } else { runner.settings.events };
+fn stream(runner: Shared, mut response: web::HttpResponseBuilder, first_id: u64) -> HttpResponse {
+    let is_cut = runner.consume_fault(|faults| &mut faults.cut_streams);
+    let last_id = if is_cut { first_id + 1 } else { runner.settings.event_count };
     runner.open_streams.fetch_add(1, Ordering::Relaxed);
-    let open = Rc::new(OpenStream(runner.clone()));
-    let events = futures_util::stream::unfold(first, move |id| {
+    let open = Rc::new(OpenStreamGuard(runner.clone()));
+    let events = futures_util::stream::unfold(first_id, move |id| {
         let (runner, open) = (runner.clone(), Rc::clone(&open));
         async move {
             let _open = open;
-            if id > last {
+            if id > last_id {
                 return None;
             }
-            sleep(Millis(runner.settings.step_ms)).await;
-            if is_cut && id == last {
+            sleep(Millis(runner.settings.delay_ms)).await;
+            if is_cut && id == last_id {
                 // Half an event and then the end of the connection.
                 let half = Bytes::from(format!("id: {id}\nda"));
                 return Some((Ok(half), u64::MAX - 1));
--- a/crates/standins/src/site/store.rs
+++ b/crates/standins/src/site/store.rs
@@ -12,15 +12,15 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::faults::{FaultGate, StoreFaults};
+use crate::faults::{FaultInjector, StoreFaults};
 use crate::http::{lock, serve};
 use crate::rows::{RowName, RowTable, RowUpdates};
 
 /// The store stand-in.
 #[derive(Debug, Default)]
-pub struct SiteStore {
+pub struct MetadataStore {
     rows: Mutex<RowTable>,
-    faults: FaultGate,
+    faults: FaultInjector,
     transactions: Mutex<u64>,
 }
 
@@ -88,9 +88,9 @@
 }
 
 /// Pause between two looks for a change while a feed call waits.
-const FEED_PAUSE: Millis = Millis(5);
+const FEED_POLL_INTERVAL: Millis = Millis(5);
 
-impl SiteStore {
+impl MetadataStore {
     /// Serves the stand-in on a thread of its own and returns the bound address.
     ///
     /// # Errors
@@ -100,7 +100,7 @@
         serve(listen, Arc::new(Self::default()), routes)
     }
 
-    fn stamp(&self, mut answer: Value) -> Value {
+    fn with_version_and_time(&self, mut answer: Value) -> Value {
         answer["ver"] = lock(&self.rows).version().into();
         answer["nowMs"] = crate::http::unix_ms().into();
         answer
@@ -118,11 +118,11 @@
         .service(web::resource("/standin/stats").route(web::get().to(get_stats)));
 }
 
-type Shared = State<Arc<SiteStore>>;
+type Shared = State<Arc<MetadataStore>>;
 
 async fn transact(store: Shared, transaction: Json<Transaction>) -> HttpResponse {
-    if let Some(fault) = store.faults.pass().await {
-        return fault;
+    if let Some(response) = store.faults.intercept().await {
+        return response;
     }
     *lock(&store.transactions) += 1;
     let Transaction { expected_rev, writes, remove } = transaction.into_inner();
@@ -137,24 +137,25 @@
     }
     updates.extend(remove.into_iter().map(|row| (row.name(), None)));
     let outcome = lock(&store.rows).transact(&expected, updates);
-    if store.faults.loses_answer() {
+    if store.faults.consume_lost_answer() {
         return HttpResponse::GatewayTimeout().force_close().finish();
     }
     match outcome {
         Ok(version) => {
-            let mut answer = store.stamp(json!({}));
+            let mut answer = store.with_version_and_time(json!({}));
             answer["ver"] = version.into();
             HttpResponse::Ok().json(&answer)
         }
         Err(current) => {
             let rows: Vec<Value> =
-                current.iter().map(|(name, row)| encode(name, &row.value, row.version)).collect();
-            HttpResponse::PreconditionFailed().json(&store.stamp(json!({ "rows": rows })))
+                current.iter().map(|(name, row)| row_json(name, &row.value, row.version)).collect();
+            HttpResponse::PreconditionFailed()
+                .json(&store.with_version_and_time(json!({ "rows": rows })))
         }
     }
 }
 
-fn encode(name: &RowName, value: &[u8], version: u64) -> Value {
+fn row_json(name: &RowName, value: &[u8], version: u64) -> Value {
     json!({
         "table": name.0,
         "part": name.1,
@@ -165,8 +166,8 @@
 }
 
 async fn get_rows(store: Shared, query: Query<RangeQuery>) -> HttpResponse {
-    if let Some(fault) = store.faults.pass().await {
-        return fault;
+    if let Some(response) = store.faults.intercept().await {
+        return response;
     }
     let (page, has_more) = {
         let table = lock(&store.rows);
@@ -174,36 +175,37 @@
         let page: Vec<Value> = rows
             .by_ref()
             .take(query.limit.min(page_rows()))
-            .map(|(name, row)| encode(name, &row.value, row.version))
+            .map(|(name, row)| row_json(name, &row.value, row.version))
             .collect();
         (page, rows.next().is_some())
     };
-    HttpResponse::Ok().json(&store.stamp(json!({ "rows": page, "hasMore": has_more })))
+    HttpResponse::Ok()
+        .json(&store.with_version_and_time(json!({ "rows": page, "hasMore": has_more })))
 }
 
 async fn feed(store: Shared, query: Query<FeedQuery>) -> HttpResponse {
-    let ends_at = Instant::now() + Duration::from_millis(query.wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
-        if let Some(fault) = store.faults.pass().await {
-            return fault;
+        if let Some(response) = store.faults.intercept().await {
+            return response;
         }
         let Some(changes) = lock(&store.rows).changes(&query.table, query.after) else {
             return HttpResponse::Gone().finish();
         };
-        if !changes.is_empty() || Instant::now() >= ends_at {
+        if !changes.is_empty() || Instant::now() >= deadline {
             let rows: Vec<Value> = changes
                 .iter()
                 .map(|change| {
                     let name = (query.table.clone(), change.part.clone(), change.key.clone());
                     let value = change.value.clone().unwrap_or_default();
-                    let mut row = encode(&name, &value, change.version);
+                    let mut row = row_json(&name, &value, change.version);
                     row["tombstone"] = change.is_removed.into();
                     row
                 })
                 .collect();
-            return HttpResponse::Ok().json(&store.stamp(json!({ "rows": rows })));
+            return HttpResponse::Ok().json(&store.with_version_and_time(json!({ "rows": rows })));
         }
-        sleep(FEED_PAUSE).await;
+        sleep(FEED_POLL_INTERVAL).await;
     }
 }
 
@@ -232,7 +234,7 @@
 }
 
 async fn forget_history(store: Shared) -> HttpResponse {
-    lock(&store.rows).forget_history();
+    lock(&store.rows).truncate_history();
     HttpResponse::NoContent().finish()
 }
 
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -41,7 +41,7 @@
         tables
             .rows
             .range(from..)
-            .take_while(|((found, key), _)| *found == table && key.starts_with(prefix))
+            .take_while(|((row_table, key), _)| *row_table == table && key.starts_with(prefix))
             .filter(|((_, key), _)| key.as_str() > after)
             .take(limit)
             .map(|(_, row)| row.clone())
@@ -51,11 +51,11 @@
     /// Applies a transaction.
     pub fn apply(&self, transaction: &Transaction) -> TransactionOutcome {
         let mut tables = lock(&self.tables);
-        let holds = transaction.conditions.iter().all(|condition| {
+        let conditions_hold = transaction.conditions.iter().all(|condition| {
             let row = tables.rows.get(&(condition.table, condition.key.clone()));
             row.map_or(0, |row| row.version) == condition.version
         });
-        if !holds {
+        if !conditions_hold {
             return TransactionOutcome::Conflict;
         }
         tables.version += 1;
