--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -4,7 +4,8 @@
 
 use clap::{Args, Parser, Subcommand};
 
-/// Checks and publishes objects, issues keys and shows the state of a dandelionfront fleet.
+/// Checks and publishes configuration objects, issues keys and shows the state of a dandelionfront
+/// fleet.
 #[derive(Debug, Parser)]
 #[command(name = "dandelionctl", version)]
 pub struct Cli {
@@ -12,15 +13,15 @@
     #[arg(long, global = true, env = "DANDELIONCTL_NODE", default_value = "127.0.0.1:8083")]
     pub node: String,
 
-    /// Prints JSON.
+    /// Prints JSON instead of text.
     #[arg(long, global = true)]
     pub json: bool,
 
-    /// Longest wait for an answer, in milliseconds.
+    /// Maximum time to wait for an answer, in milliseconds.
     #[arg(long, global = true, env = "DANDELIONCTL_TIMEOUT_MS", default_value_t = 30_000)]
     pub timeout_ms: u32,
 
-    /// What to do.
+    /// Command to run.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -28,7 +29,7 @@
 /// Commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Checks object files without a node and reports every fault with file and line.
+    /// Checks object files without contacting a node and reports every fault with file and line.
     Check(FileArgs),
     /// Checks object files and publishes them as the next version.
     Publish(PublishArgs),
@@ -64,19 +65,20 @@
     #[command(flatten)]
     pub files: FileArgs,
 
-    /// Version that the files were derived from; the one in force if left out.
+    /// Version that the files are based on; defaults to the version in force.
     #[arg(long)]
     pub base_version: Option<u64>,
 
-    /// Id of the publication, to send it again after a lost answer.
+    /// Identifier of the publication, for an idempotent retry after a lost answer; random by
+    /// default.
     #[arg(long)]
     pub publish_id: Option<String>,
 
-    /// Who publishes, shown to others.
+    /// Author recorded in the history of versions.
     #[arg(long, env = "DANDELIONCTL_AUTHOR", default_value = "operator")]
     pub author: String,
 
-    /// Keeps the keys in force that the files do not name.
+    /// Keeps the keys of the version in force that the files do not define.
     #[arg(long)]
     pub keep_keys: bool,
 }
@@ -84,16 +86,16 @@
 /// Key commands.
 #[derive(Debug, Subcommand)]
 pub enum KeyCommand {
-    /// Issues a key and prints it once.
+    /// Issues a key and prints it; the key cannot be shown again.
     Issue {
         /// Name of the new key object.
         #[arg(long)]
         name: String,
-        /// Team whose requests the key admits.
+        /// Team that requests with the key belong to.
         #[arg(long)]
         team: String,
     },
-    /// Withdraws a key; it stops working within seconds, also for connected callers.
+    /// Withdraws a key, which stops working within seconds, including for connected callers.
     Withdraw {
         /// Name of the key object.
         name: String,
@@ -103,7 +105,7 @@
 /// Backend server commands.
 #[derive(Debug, Subcommand)]
 pub enum BackendCommand {
-    /// Sends no new work to a backend server.
+    /// Stops sending new work to a backend server.
     Drain {
         /// Name of the backend object.
         name: String,
@@ -113,12 +115,12 @@
 /// Program commands.
 #[derive(Debug, Subcommand)]
 pub enum ProgramCommand {
-    /// Shows state and whole history of a program.
+    /// Shows the state and full history of a program.
     Show {
         /// Program id.
         id: String,
     },
-    /// Ends a program and its sub-agents.
+    /// Cancels a program and its sub-agents.
     Cancel {
         /// Program id.
         id: String,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to a node's operator listener.
+//! HTTP client for the operator listener of a node.
 
 use dandelionfront_coordination::config::Problem;
 use ntex::SharedCfg;
@@ -19,7 +19,7 @@
     timeout: Millis,
 }
 
-/// An error as the node sends it: a text, or an object with a message.
+/// Body of an error response; `error` is a string or an object with a `message`.
 #[derive(Debug, Deserialize)]
 struct ErrorBody {
     error: Value,
@@ -28,17 +28,17 @@
 }
 
 impl NodeClient {
-    /// Creates a client of the node at `node`.
+    /// Creates a client for the node at the address `node`.
     #[must_use]
     pub fn new(node: &str, timeout_ms: u32) -> Self {
         Self { node: node.to_owned(), timeout: Millis(timeout_ms) }
     }
 
-    /// Sends a request and reads its JSON answer.
+    /// Sends a request and decodes the JSON response.
     ///
     /// # Errors
     ///
-    /// Fails when the node does not answer, refuses, or answers in another format.
+    /// Fails when the node does not answer, refuses the request, or sends a malformed response.
     pub fn send<T: DeserializeOwned>(
         &self,
         method: &str,
@@ -76,7 +76,7 @@
             .build(SharedCfg::new("CTL"))
             .await
             .map_err(|error| unreachable(error.to_string()))?;
-        let method = method.parse().map_err(|_| unreachable("no HTTP method".to_owned()))?;
+        let method = method.parse().map_err(|_| unreachable("invalid HTTP method".to_owned()))?;
         let request = client
             .request(method, format!("http://{}{path}", self.node))
             .content_type("application/json");
@@ -89,7 +89,7 @@
         };
         match timeout(self.timeout, exchange).await {
             Ok(result) => result,
-            Err(()) => Err(unreachable("no answer in time".to_owned())),
+            Err(()) => Err(unreachable("timed out waiting for the response".to_owned())),
         }
     }
 }
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Execution of the commands.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,21 +14,21 @@
 use crate::error::{CtlError, InvalidObjectsSnafu, ReadFileSnafu};
 use crate::print;
 
-/// No body.
+/// Marks a request without a body.
 const NO_BODY: Option<&()> = None;
 
-/// Configuration in force as a node shows it.
+/// Configuration in force, as returned by a node.
 #[derive(Debug, Deserialize)]
 struct ConfigInForce {
     version: u64,
     objects: ObjectSet,
 }
 
-/// Runs a command and returns what to print.
+/// Runs a command and returns its output.
 ///
 /// # Errors
 ///
-/// Fails when files have faults, or the node does not answer or refuses.
+/// Fails when the files have faults, or the node does not answer or refuses the request.
 pub fn run(cli: &Cli) -> Result<String, CtlError> {
     let client = NodeClient::new(&cli.node, cli.timeout_ms);
     let value = match &cli.command {
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 ///
-/// Fails when a file cannot be read, and with all faults of the objects.
+/// Fails when a file cannot be read, or with all faults found in the objects.
 pub fn read_objects(args: &FileArgs) -> Result<ObjectSet, CtlError> {
     let mut files = ObjectFiles::default();
     for path in expand_folders(&args.files)? {
@@ -96,7 +96,7 @@
     files.finish().map_err(|problems| InvalidObjectsSnafu { problems }.build())
 }
 
-/// Replaces folders by their object files, in the order of their names.
+/// Replaces each folder by its object files, sorted by name.
 fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CtlError> {
     let mut files = Vec::new();
     for path in paths {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -5,43 +5,43 @@
 use dandelionfront_coordination::config::Problem;
 use snafu::Snafu;
 
-/// Why a command failed.
+/// Failure of a command.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum CtlError {
     /// A file could not be read.
     #[snafu(display("cannot read {}: {source}; check the path", path.display()))]
     ReadFile {
-        /// File.
+        /// Path of the file.
         path: PathBuf,
         /// Cause.
         source: std::io::Error,
     },
     /// The object files have faults.
-    #[snafu(display("{} faults; mend them and run the command again{}", problems.len(), problem_lines(problems)))]
+    #[snafu(display("{} faults; fix them and run the command again{}", problems.len(), lines(problems)))]
     InvalidObjects {
-        /// All faults.
+        /// All faults found.
         problems: Vec<Problem>,
     },
     /// The node did not answer.
     #[snafu(display(
-        "the node at {node} did not answer ({detail}); check --node or name another node"
+        "the node at {node} did not answer ({detail}); check --node or try another node"
     ))]
     Unreachable {
         /// Address of the node.
         node: String,
-        /// Cause.
+        /// Cause as reported by the transport.
         detail: String,
     },
     /// The node refused the request.
     #[snafu(display("{message}"))]
     Refused {
-        /// Message of the node, which names the remedy.
+        /// Message sent by the node, which includes the remedy.
         message: String,
     },
-    /// The node's answer could not be read.
+    /// The node's response could not be decoded.
     #[snafu(display(
-        "the node answered in another format ({source}); use the same release for both"
+        "the node's response is malformed ({source}); use the same release of client and node"
     ))]
     Malformed {
         /// Cause.
@@ -49,6 +49,6 @@
     },
 }
 
-fn problem_lines(problems: &[Problem]) -> String {
+fn lines(problems: &[Problem]) -> String {
     problems.iter().fold(String::new(), |text, problem| text + "\n  " + &problem.to_string())
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! Operators' command line: checks object files and talks to any node of the fleet.
+//! Command line for operators: checks object files and sends requests to any node of the fleet.
 
 pub mod cli;
 pub mod client;
--- a/crates/ctl/src/print.rs
+++ b/crates/ctl/src/print.rs
@@ -1,4 +1,4 @@
-//! Text for people and JSON for programs.
+//! Output as text for operators or as JSON for scripts.
 
 use std::fmt::Write as _;
 
@@ -14,7 +14,7 @@
     text
 }
 
-/// Returns the answer to `command` as text.
+/// Returns the result of `command` as text.
 #[must_use]
 pub fn text(command: &Command, value: &Value) -> String {
     match command {
--- a/crates/ctl/tests/check.rs
+++ b/crates/ctl/tests/check.rs
@@ -1,4 +1,4 @@
-//! `check` accepts the examples and reports every fault with file and line.
+//! Tests that `check` accepts the example files and reports every fault with file and line.
 
 use std::path::PathBuf;
 
@@ -25,7 +25,8 @@
 #[test]
 fn every_fault_names_file_line_and_remedy() {
     let fixture = repository_path("crates/ctl/tests/fixtures/faulty.toml");
-    let error = read_objects(&FileArgs { files: vec![fixture.clone()] }).expect_err("faulty");
-    let folder = fixture.parent().expect("fixture lies in a folder").display().to_string();
+    let error =
+        read_objects(&FileArgs { files: vec![fixture.clone()] }).expect_err("fixture has faults");
+    let folder = fixture.parent().expect("fixture is in a folder").display().to_string();
     insta::assert_snapshot!(error.to_string().replace(&folder, "FIXTURES"));
 }
