--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clock that moves only when somebody sleeps.
+//! Simulated clock for tests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,15 +8,17 @@
 use futures_util::FutureExt as _;
 use futures_util::future::LocalBoxFuture;
 
-/// Turns that other tasks get before a sleep ends.
+/// Times that a sleep yields to other tasks before it advances the clock.
 const YIELDS_PER_SLEEP: usize = 100;
 
-/// Clock for tests of the coordination library: a sleep lets others run and then advances it.
+/// Clock that advances only when a task sleeps or a test calls [`StepClock::advance`].
+///
+/// A sleep yields to other tasks and then advances the clock by its duration.
 #[derive(Debug, Clone, Default)]
 pub struct StepClock(Rc<Cell<Duration>>);
 
 impl StepClock {
-    /// Moves the clock forward.
+    /// Advances the clock by `duration`.
     pub fn advance(&self, duration: Duration) {
         self.0.set(self.0.get() + duration);
     }
--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -19,48 +19,48 @@
 /// Body of a completion request; unknown fields are ignored.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// Model.
+    /// Name of the model.
     pub model: String,
     /// Messages with role and content.
     pub messages: Vec<Value>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default)]
     pub max_tokens: Option<u64>,
-    /// Whether to stream.
+    /// Whether to stream the completion.
     #[serde(default)]
     pub stream: bool,
 }
 
-/// Faults of the engine stand-in.
+/// Faults to inject into the engine stand-in.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Answers completions with bytes that are no JSON.
+    /// Answers completion requests with a body that is not JSON.
     pub garbage: bool,
-    /// Refuses completions with 503.
+    /// Refuses completion requests with 503.
     pub refuse: bool,
-    /// Stops sending in the middle of streams without closing them.
+    /// Stalls streams after their first event without closing them.
     pub silent: bool,
 }
 
-/// Load as reported to schedulers.
+/// Load reported to schedulers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that generate.
+    /// Requests that occupy a slot.
     pub active: usize,
     /// Requests that wait for a slot.
     pub waiting: usize,
-    /// Slots.
+    /// Total number of slots.
     pub slots: usize,
     /// Tokens in the prefix cache.
     pub cached_tokens: u64,
 }
 
-/// Recent reports, so that an old one can be served.
+/// Recent load reports with their times, kept to serve them with a delay.
 #[derive(Debug, Default)]
 pub struct LoadHistory(VecDeque<(u64, LoadReport)>);
 
-/// Order to an engine.
+/// Order from a scheduler, refused if its fencing number is older than the newest one seen.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Order {
     fencing_number: u64,
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Slots of the engine stand-in, granted by priority and then by arrival.
+//! Slots of the engine stand-in, assigned by priority and then in order of arrival.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -14,7 +14,7 @@
     waiting: BTreeSet<(u32, u64)>,
 }
 
-/// A fixed number of slots.
+/// A fixed number of slots shared by all requests.
 #[derive(Debug)]
 pub struct Batch {
     slots: usize,
@@ -22,7 +22,7 @@
     changed: Notify,
 }
 
-/// A slot in use; dropping it lets the next request in.
+/// An occupied slot; dropping it frees the slot for the next request.
 #[derive(Debug)]
 pub struct SlotGuard<'a>(&'a Batch);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Removes a waiting request that is dropped before it gets a slot.
+/// Removes a request from the queue when dropped, also if it was cancelled before it got a slot.
 struct WaitingGuard<'a>(&'a Batch, (u32, u64));
 
 impl Drop for WaitingGuard<'_> {
@@ -43,12 +43,12 @@
 }
 
 impl Batch {
-    /// Creates a batch of `slots`.
+    /// Creates a batch with `slots` free slots.
     pub fn new(slots: usize) -> Self {
         Self { slots, queue: Mutex::default(), changed: Notify::new() }
     }
 
-    /// Waits for a slot; lower `priority` goes first.
+    /// Waits for a slot; requests with a lower `priority` value go first.
     pub async fn acquire_slot(&self, priority: u32) -> SlotGuard<'_> {
         let ticket = {
             let mut queue = lock(&self.queue);
@@ -74,7 +74,7 @@
         SlotGuard(self)
     }
 
-    /// Returns the number of active and of waiting requests.
+    /// Returns the numbers of active and of waiting requests.
     pub fn load(&self) -> (usize, usize) {
         let queue = lock(&self.queue);
         (queue.active, queue.waiting.len())
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache of the engine stand-in: blocks of tokens, evicted least recently used first.
+//! Prefix cache of the engine stand-in: blocks of tokens with LRU eviction.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -7,19 +7,19 @@
 
 use crate::http::unix_ms;
 
-/// Tokens in one block.
+/// Tokens per block.
 const BLOCK_TOKENS: usize = 16;
-/// Every event whose number is a multiple of this is never published.
+/// Events whose numbers are multiples of this are not published, to simulate lost events.
 const UNPUBLISHED_EVENT_INTERVAL: u64 = 7;
 
-/// Change of the cache as published to schedulers.
+/// A cache change published to schedulers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; gaps are events that were never published.
+    /// Sequence number of the event; a gap stands for an event that was not published.
     pub number: u64,
     /// Program whose prefix changed.
     pub program: String,
-    /// Tokens of the program's prefix that the cache holds now.
+    /// Tokens of the program's prefix that are cached after the change.
     pub held_tokens: u64,
     /// Time of the change, since the Unix epoch.
     #[serde(default)]
@@ -42,14 +42,14 @@
 }
 
 impl PrefixCache {
-    /// Creates an empty cache of `capacity_tokens`.
+    /// Creates an empty cache with a capacity of `capacity_tokens`.
     #[must_use]
     pub fn new(capacity_tokens: u64) -> Self {
         let capacity_blocks = usize::try_from(capacity_tokens).unwrap_or(usize::MAX) / BLOCK_TOKENS;
         Self { capacity_blocks, blocks: HashMap::new(), tick: 0, events: Vec::new() }
     }
 
-    /// Returns how many leading tokens of `prompt` are cached.
+    /// Returns the number of leading tokens of `prompt` that are cached, and marks them as used.
     pub fn lookup(&mut self, prompt: &[&str]) -> u64 {
         self.tick += 1;
         let tick = self.tick;
@@ -59,7 +59,7 @@
         (hits.count() * BLOCK_TOKENS) as u64
     }
 
-    /// Keeps the blocks of `prompt` for `program`, evicting the least recently used ones.
+    /// Caches the blocks of `prompt` for `program`; evicts the least recently used blocks if full.
     pub fn insert(&mut self, program: &str, prompt: &[&str]) {
         self.tick += 1;
         for hash in block_hashes(prompt) {
@@ -81,7 +81,7 @@
         self.publish(program);
     }
 
-    /// Frees what is kept for `program` alone; returns the tokens freed.
+    /// Frees the blocks cached only for `program`; returns the number of tokens freed.
     pub fn release(&mut self, program: &str) -> u64 {
         let before = self.blocks.len();
         self.blocks.retain(|_, block| {
@@ -92,7 +92,7 @@
         ((before - self.blocks.len()) * BLOCK_TOKENS) as u64
     }
 
-    /// Returns the tokens held, by program.
+    /// Returns the number of cached tokens of each program.
     #[must_use]
     pub fn held_tokens(&self) -> BTreeMap<String, u64> {
         let mut held = BTreeMap::new();
@@ -102,7 +102,7 @@
         held
     }
 
-    /// Returns the published events after `number` that are older than `lag_ms`.
+    /// Returns the published events after `number` that are at least `lag_ms` old.
     #[must_use]
     pub fn events_after(&self, number: u64, lag_ms: u64) -> Vec<CacheEvent> {
         let visible_until = unix_ms().saturating_sub(lag_ms);
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,8 +1,9 @@
 //! Stand-in for a model engine.
 //!
-//! It batches continuously over a fixed number of slots, keeps a prefix cache of limited size,
-//! honours priorities, streams tokens at a set rate, resumes streams by offset, and takes orders
-//! with fencing numbers. Its answers are a pure function of the prompt.
+//! It runs continuous batching with a fixed number of slots, keeps a prefix cache of limited size,
+//! schedules requests by priority, streams tokens at a configured rate, resumes streams from an
+//! offset, and accepts orders with fencing numbers. The generated text depends only on the prompt
+//! and the requested number of tokens.
 
 mod api;
 mod batch;
@@ -26,25 +27,25 @@
 /// Settings of the engine stand-in.
 #[derive(Debug, Clone, Args)]
 pub struct EngineSettings {
-    /// Requests that generate at the same time.
+    /// Maximum number of requests processed at the same time.
     #[arg(long, default_value_t = 8)]
     pub slots: usize,
     /// Time between two generated tokens, in milliseconds.
     #[arg(long, default_value_t = 5)]
     pub token_interval_ms: u32,
-    /// Uncached prompt tokens read per second.
+    /// Uncached prompt tokens processed per second.
     #[arg(long, default_value_t = 20_000)]
     pub prefill_tokens_per_s: u64,
-    /// Tokens that the prefix cache holds.
+    /// Capacity of the prefix cache, in tokens.
     #[arg(long, default_value_t = 100_000)]
     pub cache_tokens: u64,
-    /// Age of load reports and cache events, in milliseconds.
+    /// Delay before load reports and cache events become visible, in milliseconds.
     #[arg(long, default_value_t = 500)]
     pub load_lag_ms: u64,
-    /// Ignores fencing numbers of orders.
+    /// Accepts orders whatever their fencing numbers.
     #[arg(long)]
     pub ignore_fencing: bool,
-    /// Time for which a stream without a reader goes on, in milliseconds.
+    /// Time for which generation continues without a reader, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub resume_grace_ms: u32,
 }
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -1,16 +1,16 @@
-//! Tokens and texts of the engine stand-in: a token is a word.
+//! Tokenizer and text generator of the engine stand-in; a token is a word.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Completion length of prompts that do not ask for one.
+/// Completion length if the prompt does not request one.
 const DEFAULT_COMPLETION_TOKENS: u64 = 16;
 
-/// Returns the words of a prompt.
+/// Returns the tokens of a prompt.
 pub fn tokens(prompt: &str) -> Vec<&str> {
     prompt.split_whitespace().collect()
 }
 
-/// Returns the number of tokens to generate; a word `tokens=N` in the prompt asks for N.
+/// Returns the number of tokens to generate; the last word `tokens=N` in the prompt requests N.
 pub fn completion_tokens(prompt: &str, max_tokens: u64) -> u64 {
     let requested = prompt.split_whitespace().rev().find_map(|word| word.strip_prefix("tokens="));
     let requested =
@@ -18,7 +18,7 @@
     requested.min(max_tokens).max(1)
 }
 
-/// Returns the token at `index` of the completion of a prompt.
+/// Returns the token at `index` of the completion of the prompt with this hash.
 pub fn completion_token(prompt_hash: u64, index: u64) -> String {
     let mut input = [0; 16];
     input[..8].copy_from_slice(&prompt_hash.to_be_bytes());
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share: serving on a thread, recorded requests, locks.
+//! Helpers shared by the stand-ins: HTTP servers on threads, recorded requests and locks.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -11,7 +11,7 @@
 use ntex::web::{self, App, HttpServer};
 use serde::{Deserialize, Serialize};
 
-/// A request as a stand-in executed it.
+/// A request that a stand-in executed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedRequest {
     /// Position among the recorded requests, from 1.
@@ -29,7 +29,7 @@
 }
 
 impl RecordedRequest {
-    /// Records a request that is about to be executed.
+    /// Creates the record of a request that is about to be executed.
     #[must_use]
     pub fn new(number: u64, method: &str, path: &str, headers: &HeaderMap, body: &Bytes) -> Self {
         let text = |value: &ntex::http::header::HeaderValue| {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns a header by lowercase name.
+    /// Returns the value of a header by its lowercase name.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
@@ -94,7 +94,7 @@
 
 const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// Prints the bound address for whoever started the program and serves until it is killed.
+/// Prints the bound address to standard output and blocks until the process is killed.
 pub fn print_address_and_park(address: SocketAddr) -> ! {
     println!("listening={address}");
     loop {
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for the systems around dandelionfront.
+//! Stand-ins for the systems that dandelionfront communicates with.
 //!
-//! Each stand-in keeps its state behind one mutex, serves HTTP on one thread and records what it
-//! executed, so that tests can count executions and look for callers' keys. Their programs are the
-//! examples of this package.
+//! Each stand-in keeps its state in memory and serves HTTP on one thread. Engines, services and
+//! runners record the requests that they execute, so that tests can count executions and search
+//! the requests for callers' keys. The examples of this package run stand-ins as programs.
 
 pub mod clock;
 pub mod engine;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the platform: table service, object store and VM list over HTTP, with faults.
+//! Stand-in for the platform: table service, object store and VM list over HTTP, with injected
+//! faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,14 +15,14 @@
 use crate::http::serve;
 use crate::table::MemoryTable;
 
-/// Requests served.
+/// Numbers of requests served.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct PlatformStats {
-    /// Reads of rows or ranges.
+    /// Reads of rows and ranges.
     pub reads: AtomicU64,
     /// Transactions.
     pub writes: AtomicU64,
-    /// Object requests.
+    /// Reads and writes of objects.
     pub objects: AtomicU64,
 }
 
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -13,35 +13,36 @@
 
 use crate::http::{lock, serve};
 
-/// Faults of a link.
+/// Faults to inject into the proxy's connections.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 #[expect(clippy::struct_excessive_bools, reason = "independent switches, set together over HTTP")]
 pub struct ProxyFaults {
-    /// Refuses new connections.
+    /// Closes new connections immediately.
     pub refuse: bool,
     /// Closes each connection after this many bytes from the target.
     pub cut_after_bytes: Option<usize>,
-    /// Delays each chunk in both directions.
+    /// Delay of each chunk in both directions, in milliseconds.
     pub delay_ms: u64,
-    /// Swallows everything on connections that are open now; new ones work.
+    /// Discards all data on connections opened before the faults were set.
     pub silence_open: bool,
-    /// Swallows everything on all connections, old and new.
+    /// Discards all data on all connections.
     pub silence_all: bool,
-    /// Closes the connections that are open now.
+    /// Closes the connections opened before the faults were set.
     pub close_open: bool,
 }
 
-/// A proxy in front of one target.
+/// A fault-injecting proxy to one target.
 #[derive(Debug)]
 pub struct FaultProxy {
     target: SocketAddr,
     faults: Mutex<ProxyFaults>,
+    /// Incremented each time the faults are replaced.
     generation: watch::Sender<u64>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy to `target`; returns the bound address and the address of its control.
+    /// Starts a proxy to `target`; returns its bound address and that of its control interface.
     ///
     /// # Errors
     ///
@@ -67,7 +68,7 @@
         Ok((address, control))
     }
 
-    /// Sets the faults; `silence_open` and `close_open` act on the connections open now.
+    /// Replaces the faults; `silence_open` and `close_open` apply to connections already open.
     pub fn set_faults(&self, faults: ProxyFaults) {
         *lock(&self.faults) = faults;
         self.generation.send_modify(|generation| *generation += 1);
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -1,4 +1,4 @@
-//! Versioned rows in memory, with the faults that tests need.
+//! In-memory store of versioned rows, with injected faults.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -11,39 +11,40 @@
 use crate::faults::consume_one;
 use crate::http::lock;
 
-/// Table, part and key of a row.
+/// Table, partition and key of a row.
 pub type RowName = (String, String, String);
 
-/// Failures that a caller of the rows sees.
+/// Faults to inject into [`MemoryRows`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RowFaults {
     /// Refuses every call.
     pub outage: bool,
-    /// Applies this many further writes and loses their answers.
+    /// Number of further writes that take effect but whose answers are lost.
     pub lose_answers: u32,
-    /// Loses this many further writes before they take effect.
+    /// Number of further writes that are lost before they take effect.
     pub lose_writes: u32,
 }
 
-/// All rows, with the history of their changes.
+/// The rows of all tables, with the history of their changes.
 #[derive(Debug, Default)]
 pub struct RowTable {
     rows: BTreeMap<RowName, VersionedRow>,
     history: Vec<(RowName, u64)>,
     version: u64,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version are no longer available.
     truncated_version: u64,
 }
 
-/// Writes and removals of one transaction.
+/// Writes of one transaction; `None` removes the row.
 pub type RowUpdates = Vec<(RowName, Option<Vec<u8>>)>;
 
 impl RowTable {
-    /// Applies `updates` if each row in `expected` has its version.
+    /// Applies `updates` if each row in `expected` has the version given there, and returns the new
+    /// version.
     ///
     /// # Errors
     ///
-    /// Returns the current rows of `expected` when one has another version.
+    /// Returns the current state of the rows in `expected` if any has a different version.
     pub fn transact(
         &mut self,
         expected: &[(RowName, u64)],
@@ -70,7 +71,7 @@
         Ok(self.version)
     }
 
-    /// Returns the rows of a part from `from` on.
+    /// Returns the rows of a partition, starting at the key `from`.
     pub fn range<'a>(
         &'a self,
         table: &'a str,
@@ -81,7 +82,8 @@
         self.rows.range(start..).take_while(move |(name, _)| name.0 == table && name.1 == part)
     }
 
-    /// Returns the rows of `table` changed after `version`, or `None` when they are forgotten.
+    /// Returns the newest change of each row of `table` changed after `version`, or `None` if the
+    /// history does not reach back that far.
     #[must_use]
     pub fn changes(&self, table: &str, version: u64) -> Option<Vec<RowChange>> {
         if version < self.truncated_version {
@@ -107,19 +109,19 @@
         Some(newest.into_iter().map(change).collect())
     }
 
-    /// Forgets all changes up to now.
+    /// Makes all changes up to the current version unavailable.
     pub fn truncate_history(&mut self) {
         self.truncated_version = self.version;
     }
 
-    /// Returns the newest version.
+    /// Returns the version of the newest transaction.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
     }
 }
 
-/// A store for tests of the coordination library; clones share their rows.
+/// In-memory [`RowStore`] for tests of the coordination library; clones share their rows.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryRows {
     table: Arc<Mutex<RowTable>>,
@@ -128,12 +130,12 @@
 }
 
 impl MemoryRows {
-    /// Sets the failures that callers see.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: RowFaults) {
         *lock(&self.faults) = faults;
     }
 
-    /// Returns the number of write calls.
+    /// Returns the number of write calls that were not refused.
     #[must_use]
     pub fn write_count(&self) -> u64 {
         *lock(&self.writes)
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -15,7 +15,7 @@
 /// Settings of the service stand-in.
 #[derive(Debug, Clone, Default, Args)]
 pub struct ServiceSettings {
-    /// Time from the execution of a call to its answer, in milliseconds.
+    /// Delay between the execution of a call and its answer, in milliseconds.
     #[arg(long, default_value_t = 0)]
     pub delay_ms: u32,
 }
--- a/crates/standins/src/site/mod.rs
+++ b/crates/standins/src/site/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins that speak the formats of the users' platform.
+//! Stand-ins that implement the HTTP formats of the users' platform.
 
 pub mod runner;
 pub mod store;
--- a/crates/standins/src/site/runner.rs
+++ b/crates/standins/src/site/runner.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a backend server behind the users' platform: engine or plain service.
+//! Stand-in for a backend server on the users' platform, used as model engine or plain service.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,28 +15,28 @@
 
 use crate::http::{RecordedRequest, lock, serve};
 
-/// Settings of a backend server.
+/// Settings of the backend server stand-in.
 #[derive(Debug, Clone)]
 pub struct RunnerSettings {
-    /// Identifier that requests expect.
+    /// Instance identifier that requests must name in `expect-instance`.
     pub id: String,
-    /// Events of a stream.
+    /// Number of events in a complete stream.
     pub event_count: u64,
-    /// Time before each event, or before a plain answer.
+    /// Delay before each event of a stream, or before an answer that is not streamed.
     pub delay_ms: u32,
 }
 
-/// Faults that a backend server shows.
+/// Faults to inject into the backend server stand-in.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RunnerFaults {
-    /// Refuses this many requests without running them.
+    /// Number of further requests to refuse without executing them.
     pub refuse: u32,
-    /// Cuts this many streams after one event and a half.
+    /// Number of further streams to cut in the middle of their second event.
     pub cut_streams: u32,
-    /// Runs this many requests and closes the connection instead of answering.
+    /// Number of further requests to execute without a complete answer, closing the connection.
     pub lose_answers: u32,
-    /// Answers this many requests under another request's identifier.
+    /// Number of further requests to answer with the identifier of a different request.
     pub answer_foreign: u32,
 }
 
@@ -65,7 +65,7 @@
         serve(listen, Arc::new(runner), routes)
     }
 
-    /// Counts one of the faults down; returns whether it strikes.
+    /// Decrements the counter of a fault; returns whether the fault applies to this request.
     fn consume_fault(&self, fault: impl Fn(&mut RunnerFaults) -> &mut u32) -> bool {
         let mut faults = lock(&self.faults);
         let remaining = fault(&mut faults);
@@ -94,7 +94,7 @@
     HttpResponse::Ok().json(&json!({ "open": open }))
 }
 
-/// Counts a stream until it is dropped.
+/// Counts a stream as open until dropped.
 struct OpenStreamGuard(Shared);
 
 impl Drop for OpenStreamGuard {
@@ -149,7 +149,7 @@
     response.json(&json!({ "server": runner.settings.id, "execution": number }))
 }
 
-/// Ends the connection without a whole answer.
+/// Returns a response whose body fails at once, which closes the connection.
 fn truncated_response() -> HttpResponse {
     let error = futures_util::stream::once(async { Err::<Bytes, _>(io::Error::other("cut")) });
     HttpResponse::Ok().streaming(Box::pin(error))
@@ -169,7 +169,7 @@
             }
             sleep(Millis(runner.settings.delay_ms)).await;
             if is_cut && id == last_id {
-                // Half an event and then the end of the connection.
+                // Half an event; the next id ends the events, and `tail` breaks the connection.
                 let half = Bytes::from(format!("id: {id}\nda"));
                 return Some((Ok(half), u64::MAX - 1));
             }
@@ -184,7 +184,7 @@
     response.streaming(Box::pin(events.chain(tail)))
 }
 
-/// Returns the data of the event `id`.
+/// Returns the data of the event with the given `id`.
 #[must_use]
 pub fn event_data(id: u64) -> String {
     format!("token-{id}")
--- a/crates/standins/src/site/store.rs
+++ b/crates/standins/src/site/store.rs
@@ -16,7 +16,7 @@
 use crate::http::{lock, serve};
 use crate::rows::{RowName, RowTable, RowUpdates};
 
-/// The store stand-in.
+/// The metadata store stand-in.
 #[derive(Debug, Default)]
 pub struct MetadataStore {
     rows: Mutex<RowTable>,
@@ -87,7 +87,7 @@
     500
 }
 
-/// Pause between two looks for a change while a feed call waits.
+/// Interval between checks for changes while a feed request waits.
 const FEED_POLL_INTERVAL: Millis = Millis(5);
 
 impl MetadataStore {
@@ -214,7 +214,7 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Writes a row as the operator or a backend server does, or removes it.
+/// Unconditional write of a row, as by the operator or a backend server; no value removes it.
 #[derive(Debug, Deserialize)]
 struct DirectWrite {
     table: String,
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -1,4 +1,4 @@
-//! In-memory transactional table and object store.
+//! In-memory transactional tables, object store and VM list.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
     version: u64,
 }
 
-/// Rows and objects in memory; every transaction is atomic.
+/// Rows, objects and VM list in memory; every transaction is atomic.
 #[derive(Debug, Default)]
 pub struct MemoryTable {
     tables: Mutex<Tables>,
@@ -33,7 +33,7 @@
         lock(&self.tables).rows.get(&(table, key.to_owned())).cloned()
     }
 
-    /// Reads up to `limit` rows with `prefix` after the key `after`.
+    /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`.
     #[must_use]
     pub fn read_range(&self, table: Table, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let tables = lock(&self.tables);
@@ -48,7 +48,7 @@
             .collect()
     }
 
-    /// Applies a transaction.
+    /// Applies a transaction if all its conditions hold.
     pub fn apply(&self, transaction: &Transaction) -> TransactionOutcome {
         let mut tables = lock(&self.tables);
         let conditions_hold = transaction.conditions.iter().all(|condition| {
@@ -100,7 +100,7 @@
         lock(&self.vms).clone()
     }
 
-    /// Returns the services of the platform, backed by this memory.
+    /// Returns the platform's services, backed by this memory.
     #[must_use]
     pub fn platform(self: &Arc<Self>) -> Platform {
         let service = Rc::new(MemoryPlatform(Arc::clone(self)));
