--- a/crates/ctl/src/print.rs
+++ b/crates/ctl/src/print.rs
@@ -1,4 +1,4 @@
-//! Text for people and JSON for programs.
+//! Output as text for operators or as JSON for scripts.
 
 use std::fmt::Write as _;
 
@@ -14,7 +14,7 @@
     text
 }
 
-/// Returns the answer to `command` as text.
+/// Returns the result of `command` as text.
 #[must_use]
 pub fn text(command: &Command, value: &Value) -> String {
     match command {
@@ -64,22 +64,22 @@
     let mut text = String::new();
     for (field, content) in value.as_object().into_iter().flatten() {
         if field != "members" {
-            let _ = writeln!(text, "{field}: {}", plain(content));
+            let _ = writeln!(text, "{field}: {}", unquoted(content));
         }
     }
     for member in value["members"].as_array().into_iter().flatten() {
         let _ = writeln!(
             text,
             "member {} {} {} {}",
-            plain(&member["id"]),
-            plain(&member["zone"]),
-            plain(&member["state"]),
-            plain(&member["forward_address"])
+            unquoted(&member["id"]),
+            unquoted(&member["zone"]),
+            unquoted(&member["state"]),
+            unquoted(&member["forward_address"])
         );
     }
     text
 }
 
-fn plain(value: &Value) -> String {
+fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/standins/src/site/mod.rs
+++ b/crates/standins/src/site/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins that speak the formats of the users' platform.
+//! Stand-ins that implement the HTTP formats of the users' platform.
 
 pub mod runner;
 pub mod store;
 
 pub use runner::{Runner, RunnerFaults, RunnerSettings};
-pub use store::SiteStore;
+pub use store::MetadataStore;
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -1,4 +1,4 @@
-//! In-memory transactional table and object store.
+//! In-memory transactional tables, object store and VM list.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
     version: u64,
 }
 
-/// Rows and objects in memory; every transaction is atomic.
+/// Rows, objects and VM list in memory; every transaction is atomic.
 #[derive(Debug, Default)]
 pub struct MemoryTable {
     tables: Mutex<Tables>,
@@ -33,7 +33,7 @@
         lock(&self.tables).rows.get(&(table, key.to_owned())).cloned()
     }
 
-    /// Reads up to `limit` rows with `prefix` after the key `after`.
+    /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`.
     #[must_use]
     pub fn read_range(&self, table: Table, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let tables = lock(&self.tables);
@@ -41,21 +41,21 @@
         tables
             .rows
             .range(from..)
-            .take_while(|((found, key), _)| *found == table && key.starts_with(prefix))
+            .take_while(|((row_table, key), _)| *row_table == table && key.starts_with(prefix))
             .filter(|((_, key), _)| key.as_str() > after)
             .take(limit)
             .map(|(_, row)| row.clone())
             .collect()
     }
 
-    /// Applies a transaction.
+    /// Applies a transaction if all its conditions hold.
     pub fn apply(&self, transaction: &Transaction) -> TransactionOutcome {
         let mut tables = lock(&self.tables);
-        let holds = transaction.conditions.iter().all(|condition| {
+        let conditions_hold = transaction.conditions.iter().all(|condition| {
             let row = tables.rows.get(&(condition.table, condition.key.clone()));
             row.map_or(0, |row| row.version) == condition.version
         });
-        if !holds {
+        if !conditions_hold {
             return TransactionOutcome::Conflict;
         }
         tables.version += 1;
@@ -100,7 +100,7 @@
         lock(&self.vms).clone()
     }
 
-    /// Returns the services of the platform, backed by this memory.
+    /// Returns the platform's services, backed by this memory.
     #[must_use]
     pub fn platform(self: &Arc<Self>) -> Platform {
         let service = Rc::new(MemoryPlatform(Arc::clone(self)));
