--- a/crates/coordination/src/config/check.rs
+++ b/crates/coordination/src/config/check.rs
@@ -41,7 +41,7 @@
 #[must_use]
 pub fn check(set: &ObjectSet) -> Vec<Problem> {
     let mut checker = Checker { set, problems: Vec::new() };
-    checker.check_values();
+    checker.check_ranges();
     set.team.iter().for_each(|(name, team)| checker.check_team(name, team));
     checker.check_keys();
     set.backend.iter().for_each(|(name, backend)| checker.check_backend(name, backend));
@@ -60,7 +60,7 @@
         self.problems.push(Problem { position: None, object, message: message.into() });
     }
 
-    fn check_values(&mut self) {
+    fn check_ranges(&mut self) {
         for (name, limit) in &self.set.limit {
             if !(limit.rate_per_s.is_finite() && limit.rate_per_s > 0.0) {
                 self.report(
@@ -229,8 +229,8 @@
     name: &str,
     known: impl Iterator<Item = &'a String>,
 ) -> String {
-    const SUGGESTIONS: usize = 5;
-    let known: Vec<&str> = known.take(SUGGESTIONS).map(String::as_str).collect();
+    const SUGGESTIONS_MAX: usize = 5;
+    let known: Vec<&str> = known.take(SUGGESTIONS_MAX).map(String::as_str).collect();
     let hint = if known.is_empty() { "none is defined".to_owned() } else { known.join(", ") };
     format!("there is no {kind} {name:?}; define it or name one that exists ({hint})")
 }
--- a/crates/coordination/src/config/files.rs
+++ b/crates/coordination/src/config/files.rs
@@ -53,22 +53,22 @@
         };
         let values: toml::Table = toml::from_str(text).unwrap_or_default();
         for (kind, names) in table.get_ref() {
-            let line = position(file, text, kind.span().start);
+            let kind_position = position(file, text, kind.span().start);
             let kind = kind.get_ref().as_ref();
             let parse = KINDS.iter().find(|(known, _)| *known == kind).map(|(_, parse)| *parse);
             let (Some(parse), DeValue::Table(names)) = (parse, names.get_ref()) else {
                 let known: Vec<&str> = KINDS.iter().map(|(known, _)| *known).collect();
                 let message = format!("write [KIND.NAME] with KIND one of {}", known.join(", "));
-                self.report(Some(line), kind, &message);
+                self.report(Some(kind_position), kind, &message);
                 continue;
             };
             for (name, fields) in names {
-                let position = position(file, text, name.span().start);
+                let name_position = position(file, text, name.span().start);
                 let name = name.get_ref().as_ref();
                 let object = format!("{kind}.{name}");
                 self.record_field_positions(&object, fields.get_ref(), file, text);
                 let value = values.get(kind).and_then(|names| names.get(name)).cloned();
-                self.add_object(kind, name, value, parse, position);
+                self.add_object(kind, name, value, parse, name_position);
             }
         }
     }
--- a/crates/coordination/src/config/objects.rs
+++ b/crates/coordination/src/config/objects.rs
@@ -173,13 +173,13 @@
     pub value: Option<Value>,
 }
 
-type FlatSet = BTreeMap<String, BTreeMap<String, Value>>;
+type ObjectsByKind = BTreeMap<String, BTreeMap<String, Value>>;
 
 impl ObjectSet {
     /// Returns the number of objects.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.flat().values().map(BTreeMap::len).sum()
+        self.by_kind().values().map(BTreeMap::len).sum()
     }
 
     /// Returns whether the set holds no objects.
@@ -197,7 +197,7 @@
     /// Returns the changes that turn `self` into `newer`.
     #[must_use]
     pub fn diff(&self, newer: &Self) -> Vec<Change> {
-        let (old, new) = (self.flat(), newer.flat());
+        let (old, new) = (self.by_kind(), newer.by_kind());
         let mut changes = Vec::new();
         for (kind, names) in &new {
             for (name, value) in names {
@@ -222,18 +222,18 @@
     ///
     /// Fails when a change has an unknown kind or holds a malformed object.
     pub fn apply(&self, changes: &[Change]) -> Result<Self, serde_json::Error> {
-        let mut flat = self.flat();
+        let mut by_kind = self.by_kind();
         for change in changes {
-            let names = flat.entry(change.kind.clone()).or_default();
+            let names = by_kind.entry(change.kind.clone()).or_default();
             match &change.value {
                 Some(value) => names.insert(change.name.clone(), value.clone()),
                 None => names.remove(&change.name),
             };
         }
-        serde_json::from_value(serde_json::to_value(flat)?)
+        serde_json::from_value(serde_json::to_value(by_kind)?)
     }
 
-    fn flat(&self) -> FlatSet {
+    fn by_kind(&self) -> ObjectsByKind {
         let value = serde_json::to_value(self).unwrap_or_default();
         serde_json::from_value(value).unwrap_or_default()
     }
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -8,9 +8,9 @@
 use crate::refusal::{Refusal, RefusalKind};
 
 /// Maximum number of retries that the budget can hold.
-const RETRY_TOKENS_MAX: f64 = 10.0;
+const RETRY_BURST: f64 = 10.0;
 /// Share of a retry that each first attempt adds to the budget.
-const RETRY_TOKENS_PER_CALL: f64 = 0.1;
+const RETRIES_PER_CALL: f64 = 0.1;
 
 /// A backend server chosen for one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 /// Counts outstanding calls and selects the least loaded backend server.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
-    outstanding: RefCell<HashMap<BackendId, u32>>,
+    in_flight: RefCell<HashMap<BackendId, u32>>,
     leaving: RefCell<HashSet<String>>,
     retry_budget: RefCell<RetryBudget>,
 }
@@ -32,24 +32,24 @@
 /// Token bucket that limits retries to a share of first attempts.
 #[derive(Debug)]
 struct RetryBudget {
-    tokens: f64,
+    retries: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: RETRY_TOKENS_MAX }
+        Self { retries: RETRY_BURST }
     }
 }
 
 impl RetryBudget {
     fn deposit(&mut self) {
-        self.tokens = (self.tokens + RETRY_TOKENS_PER_CALL).min(RETRY_TOKENS_MAX);
+        self.retries = (self.retries + RETRIES_PER_CALL).min(RETRY_BURST);
     }
 
     fn withdraw(&mut self) -> bool {
-        let allowed = self.tokens >= 1.0;
+        let allowed = self.retries >= 1.0;
         if allowed {
-            self.tokens -= 1.0;
+            self.retries -= 1.0;
         }
         allowed
     }
@@ -76,8 +76,8 @@
             ));
         }
         let leaving = self.leaving.borrow();
-        let mut outstanding = self.outstanding.borrow_mut();
-        let load = |name: &BackendId| outstanding.get(name).copied().unwrap_or(0);
+        let mut in_flight = self.in_flight.borrow_mut();
+        let load = |name: &BackendId| in_flight.get(name).copied().unwrap_or(0);
         let chosen = config
             .active_backends(served)
             .filter(|(name, backend)| !tried.contains(name) && !leaving.contains(&backend.address))
@@ -89,7 +89,7 @@
                 format!("no backend server of {served:?} can take the call; repeat it later"),
             ));
         };
-        *outstanding.entry(name.clone()).or_default() += 1;
+        *in_flight.entry(name.clone()).or_default() += 1;
         Ok(Placement { backend: name.clone(), address: backend.address.clone() })
     }
 
@@ -100,7 +100,7 @@
 
     /// Records the end of an attempt at `placement`.
     pub fn release(&self, placement: &Placement) {
-        if let Some(count) = self.outstanding.borrow_mut().get_mut(&placement.backend) {
+        if let Some(count) = self.in_flight.borrow_mut().get_mut(&placement.backend) {
             *count = count.saturating_sub(1);
         }
     }
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -34,7 +34,7 @@
 
 /// Region and shard of a program.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ProgramHome {
+pub struct RegionShard {
     /// Region of the program.
     pub region: RegionId,
     /// Shard within the region.
@@ -43,7 +43,7 @@
 
 /// Returns the region and shard in a program id, or `None` if the id is malformed.
 #[must_use]
-pub fn home_of_program(program: &str) -> Option<ProgramHome> {
+pub fn parse_program_id(program: &str) -> Option<RegionShard> {
     let rest = program.strip_prefix(PROGRAM_ID_PREFIX)?.strip_prefix('-')?;
     let mut parts = rest.rsplitn(3, '-');
     let (unique, shard) = (parts.next()?, parts.next()?);
@@ -53,13 +53,13 @@
     }
     u128::from_str_radix(unique, 16).ok()?;
     let shard = ShardId::from_str_radix(shard, 16).ok()?;
-    Some(ProgramHome { region: region.to_owned(), shard })
+    Some(RegionShard { region: region.to_owned(), shard })
 }
 
 /// Returns the shard in a program id, or `None` if the id is malformed.
 #[must_use]
 pub fn shard_of_program(program: &str) -> Option<ShardId> {
-    home_of_program(program).map(|home| home.shard)
+    parse_program_id(program).map(|known| known.shard)
 }
 
 /// Returns the id of the implicit program that holds a call sent without `Program-Id`.
--- a/crates/coordination/src/journal.rs
+++ b/crates/coordination/src/journal.rs
@@ -90,12 +90,12 @@
     incarnation: Rc<Incarnation>,
     settings: JournalSettings,
     pending: RefCell<Vec<PendingAppend>>,
-    records_queued: Notify,
+    commit_requested: Notify,
     in_flight: Cell<bool>,
-    commit_requested: Cell<bool>,
+    commit_due: Cell<bool>,
     stalled: Cell<bool>,
     next_number: Cell<CommitNumber>,
-    min_commit_interval: Cell<Duration>,
+    region_commit_interval: Cell<Duration>,
     stats: Cell<JournalStats>,
     applier: RefCell<Option<Rc<dyn CommitApplier>>>,
     observer: RefCell<Option<CommitObserver>>,
@@ -125,12 +125,12 @@
             incarnation,
             settings,
             pending: RefCell::default(),
-            records_queued: Notify::new(),
+            commit_requested: Notify::new(),
             in_flight: Cell::new(false),
-            commit_requested: Cell::new(false),
+            commit_due: Cell::new(false),
             stalled: Cell::new(false),
             next_number: Cell::new(1),
-            min_commit_interval: Cell::default(),
+            region_commit_interval: Cell::default(),
             stats: Cell::default(),
             applier: RefCell::new(None),
             observer: RefCell::new(None),
@@ -179,7 +179,7 @@
             return ticket;
         }
         self.pending.borrow_mut().push(PendingAppend { entries, done });
-        self.records_queued.notify_one();
+        self.commit_requested.notify_one();
         ticket
     }
 
@@ -194,8 +194,8 @@
 
     /// Sets the minimum time between the starts of two commits; a longer time in the settings
     /// takes precedence.
-    pub fn set_min_commit_interval(&self, min_commit_interval: Duration) {
-        self.min_commit_interval.set(min_commit_interval);
+    pub fn set_region_commit_interval(&self, region_commit_interval: Duration) {
+        self.region_commit_interval.set(region_commit_interval);
     }
 
     /// Waits until everything appended so far is committed or the node is fenced.
@@ -210,23 +210,23 @@
     /// Commits queued records until the node is fenced.
     pub async fn run(&self) {
         while !self.incarnation.is_fenced() {
-            if !self.commit_requested.replace(false) {
-                self.records_queued.notified().await;
-                self.commit_requested.set(true);
+            if !self.commit_due.replace(false) {
+                self.commit_requested.notified().await;
+                self.commit_due.set(true);
             }
             let batch = self.take_batch();
             if batch.is_empty() {
                 continue;
             }
             // Appends that did not fit into the batch go into the next commit.
-            self.commit_requested.set(!self.pending.borrow().is_empty());
+            self.commit_due.set(!self.pending.borrow().is_empty());
             self.in_flight.set(true);
             let started = self.clock.monotonic();
             let result = self.commit(&batch).await;
             self.in_flight.set(false);
             let elapsed = self.clock.monotonic().saturating_sub(started);
             self.complete_batch(batch, &result, elapsed);
-            let interval = self.settings.commit_interval.max(self.min_commit_interval.get());
+            let interval = self.settings.commit_interval.max(self.region_commit_interval.get());
             if let Some(pause) = interval.checked_sub(elapsed) {
                 self.clock.sleep(pause).await;
             }
@@ -300,7 +300,7 @@
             match self.platform.table.transact(&transaction).await {
                 Ok(TransactionOutcome::Committed(_)) => break,
                 Ok(TransactionOutcome::Conflict) => {
-                    if self.is_committed(&key, &value).await? {
+                    if self.resolve_conflict(&key, &value).await? {
                         break;
                     }
                 }
@@ -315,7 +315,7 @@
     /// Resolves a conflict; returns whether an earlier attempt of the commit took effect.
     ///
     /// Otherwise the node's own row has a new version, or the node was fenced.
-    async fn is_committed(
+    async fn resolve_conflict(
         &self,
         key: &str,
         value: &serde_json::Value,
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -20,14 +20,14 @@
 /// Window of the fencing rate limit.
 const FENCE_WINDOW: Duration = Duration::from_secs(10);
 /// At most one in this many unfenced members, rounded up, may be fenced within one window.
-const FENCE_FRACTION: usize = 4;
+const FENCE_DIVISOR: usize = 4;
 
 /// A node's view of the fleet's members, as recorded in the table.
 pub struct Membership {
     table: Rc<dyn TableService>,
     clock: Rc<dyn Clock>,
     incarnation: Rc<Incarnation>,
-    identity: RefCell<Member>,
+    own_member: RefCell<Member>,
     head: watch::Sender<Head>,
     head_read_at: Cell<Option<Duration>>,
     members: RefCell<Rc<Vec<Member>>>,
@@ -42,13 +42,13 @@
         table: Rc<dyn TableService>,
         clock: Rc<dyn Clock>,
         incarnation: Rc<Incarnation>,
-        identity: Member,
+        own_member: Member,
     ) -> Self {
         Self {
             table,
             clock,
             incarnation,
-            identity: RefCell::new(identity),
+            own_member: RefCell::new(own_member),
             head: watch::Sender::default(),
             head_read_at: Cell::default(),
             members: RefCell::default(),
@@ -60,7 +60,7 @@
     /// Returns this node's own entry as last written to the table.
     #[must_use]
     pub fn own_member(&self) -> Member {
-        self.identity.borrow().clone()
+        self.own_member.borrow().clone()
     }
 
     /// Returns the members as last read, including fenced ones.
@@ -88,14 +88,14 @@
     ///
     /// Fails when the platform cannot be reached; calling again is safe.
     pub async fn register(&self) -> PlatformResult<()> {
-        let identity = self.own_member();
-        while !self.write_member(&identity, self.incarnation.row_version(), None).await? {
-            if let Some(row) = self.table.get(Table::Nodes, &identity.id).await? {
+        let own_member = self.own_member();
+        while !self.write_member(&own_member, self.incarnation.row_version(), None).await? {
+            if let Some(row) = self.table.get(Table::Nodes, &own_member.id).await? {
                 self.incarnation.set_row_version(row.version);
                 break;
             }
         }
-        info!("event=registered incarnation={} zone={}", identity.id, identity.zone);
+        info!("event=registered incarnation={} zone={}", own_member.id, own_member.zone);
         Ok(())
     }
 
@@ -140,10 +140,10 @@
         if member.state == MemberState::Fenced {
             return Ok(true);
         }
-        let live = members.iter().filter(|member| member.state != MemberState::Fenced).count();
+        let unfenced = members.iter().filter(|member| member.state != MemberState::Fenced).count();
         let version = self.row_versions.borrow().get(target).copied().unwrap_or(0);
         let fenced = Member { state: MemberState::Fenced, ..member.clone() };
-        let done = self.write_member(&fenced, version, Some(live)).await?;
+        let done = self.write_member(&fenced, version, Some(unfenced)).await?;
         if done {
             warn!("event=member_fenced incarnation={target}");
         }
@@ -172,7 +172,7 @@
         }
         let updated = Member { reclaimer, ..own };
         if self.write_member(&updated, self.incarnation.row_version(), None).await? {
-            *self.identity.borrow_mut() = updated;
+            *self.own_member.borrow_mut() = updated;
         }
         Ok(())
     }
@@ -184,7 +184,7 @@
     /// Fails when the platform cannot be reached; calling again is safe.
     pub async fn announce_leaving(&self) -> PlatformResult<()> {
         let leaving = Member { state: MemberState::Leaving, ..self.own_member() };
-        *self.identity.borrow_mut() = leaving.clone();
+        *self.own_member.borrow_mut() = leaving.clone();
         while !self.write_member(&leaving, self.incarnation.row_version(), None).await? {
             self.read_members().await?;
             if self.incarnation.is_fenced() {
@@ -238,12 +238,12 @@
         match (own, row_versions.get(own_id)) {
             (Some(own), Some(version)) if own.state != MemberState::Fenced => {
                 self.incarnation.set_row_version(*version);
-                if self.identity.borrow().state == own.state {
-                    *self.identity.borrow_mut() = own.clone();
+                if self.own_member.borrow().state == own.state {
+                    *self.own_member.borrow_mut() = own.clone();
                 }
             }
             _ => {
-                if self.identity.borrow().state == MemberState::Live {
+                if self.own_member.borrow().state == MemberState::Live {
                     warn!("event=fenced incarnation={own_id}");
                 }
                 self.incarnation.mark_fenced();
@@ -251,16 +251,17 @@
         }
     }
 
-    /// Writes a member row and increments the membership version; returns whether both committed.
+    /// Writes a member row and increments `members_version` in one transaction; returns whether it
+    /// committed.
     ///
-    /// `fence_live` is set for a write that fences another member and holds the number of unfenced
-    /// members. Such a write is subject to the fencing rate limit and fails if this node itself was
-    /// fenced.
+    /// For a write that fences another member, `unfenced_count` is the number of unfenced members.
+    /// Such a write is rate limited and does not commit if this node's own row has changed, which
+    /// includes that this node was fenced.
     async fn write_member(
         &self,
         member: &Member,
         expected: u64,
-        fence_live: Option<usize>,
+        unfenced_count: Option<usize>,
     ) -> PlatformResult<bool> {
         let (head_version, head) = read_head(&*self.table).await?;
         let mut head = Head { members_version: head.members_version + 1, ..head };
@@ -268,8 +269,8 @@
         let mut transaction = Transaction::default()
             .require(Table::Head, HEAD_KEY, head_version)
             .require(Table::Nodes, &member.id, expected);
-        if let Some(live) = fence_live {
-            if !count_fencing(&mut head, millis(self.clock.unix()), live) {
+        if let Some(unfenced) = unfenced_count {
+            if !count_fencing(&mut head, millis(self.clock.unix()), unfenced) {
                 warn!("event=fencing_put_off target={}", member.id);
                 return Ok(false);
             }
@@ -295,12 +296,12 @@
 }
 
 /// Counts one fencing in the head row; returns whether the rate limit allows it.
-fn count_fencing(head: &mut Head, now_unix_ms: u64, live: usize) -> bool {
+fn count_fencing(head: &mut Head, now_unix_ms: u64, unfenced: usize) -> bool {
     if now_unix_ms.saturating_sub(head.fence_window_unix_ms) > millis(FENCE_WINDOW) {
         head.fence_window_unix_ms = now_unix_ms;
         head.fence_count = 0;
     }
-    let allowed = live.div_ceil(FENCE_FRACTION).max(1);
+    let allowed = unfenced.div_ceil(FENCE_DIVISOR).max(1);
     head.fence_count += 1;
     head.fence_count as usize <= allowed
 }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -13,7 +13,7 @@
 use crate::config::ConfigSnapshot;
 use crate::detector::DetectorSettings;
 use crate::heartbeat::{Heartbeats, NewerConfig, SHARE_LEASE};
-use crate::ids::{ConfigVersion, IncarnationId, ProgramHome};
+use crate::ids::{ConfigVersion, IncarnationId, RegionShard};
 use crate::incarnation::Incarnation;
 use crate::journal::{Journal, JournalSettings, unix_ms};
 use crate::limits::{Escrow, LimitSettings};
@@ -103,16 +103,16 @@
 }
 
 impl Node {
-    /// Creates a node that is not registered yet; `identity` must be in state `Live`.
+    /// Creates a node that is not registered yet; `own_member` must be in state `Live`.
     #[must_use]
     pub fn new(
         platform: Platform,
         clock: Rc<dyn Clock>,
         peers: Rc<dyn Peers>,
-        identity: Member,
+        own_member: Member,
         settings: NodeSettings,
     ) -> Rc<Self> {
-        let incarnation = Rc::new(Incarnation::new(identity.id.clone()));
+        let incarnation = Rc::new(Incarnation::new(own_member.id.clone()));
         let table = Rc::clone(&platform.table);
         let journal = Rc::new(Journal::new(
             platform.clone(),
@@ -128,7 +128,7 @@
             Rc::clone(&incarnation),
             Rc::clone(&journal),
             Rc::clone(&owner),
-            identity.region.clone(),
+            own_member.region.clone(),
             settings.shard_count,
         );
         let heartbeats = Rc::new(Heartbeats::new(
@@ -145,7 +145,7 @@
             settings.limits.clone(),
         );
         let membership =
-            Membership::new(table, Rc::clone(&clock), Rc::clone(&incarnation), identity);
+            Membership::new(table, Rc::clone(&clock), Rc::clone(&incarnation), own_member);
         Rc::new(Self {
             clock,
             settings,
@@ -221,14 +221,15 @@
         self.heartbeats.is_suspect(target)
     }
 
-    /// Returns where calls for a program of this home are served.
+    /// Returns where calls for programs of this region and shard are served.
     ///
-    /// A node does not track the owners of shards in other regions. For those it returns the
-    /// preferred owner, which knows the actual owner while the shard is moving.
+    /// A node does not track the owners of shards in other regions. For those, and for shards of
+    /// its own region without a recorded owner, it returns the preferred owner, which knows the
+    /// actual owner while the shard is moving.
     #[must_use]
-    pub fn locate(&self, home: &ProgramHome) -> Location {
-        let is_own_region = home.region == self.membership.own_member().region;
-        if is_own_region && self.shards.is_serving(home.shard) {
+    pub fn locate(&self, region_shard: &RegionShard) -> Location {
+        let is_own_region = region_shard.region == self.membership.own_member().region;
+        if is_own_region && self.shards.is_serving(region_shard.shard) {
             return Location::Local;
         }
         let members = self.membership.members();
@@ -236,8 +237,9 @@
             members.iter().find(|member| member.id == id && member.state != MemberState::Fenced)
         };
         let recorded =
-            self.shards.owner_of(home.shard).filter(|_| is_own_region).and_then(not_fenced);
-        let preferred = || preferred_owner(members.iter(), &home.region, home.shard);
+            self.shards.owner_of(region_shard.shard).filter(|_| is_own_region).and_then(not_fenced);
+        let preferred =
+            || preferred_owner(members.iter(), &region_shard.region, region_shard.shard);
         match recorded.or_else(preferred) {
             Some(member) if member.id != self.incarnation.id() => {
                 Location::Remote(member.forward_address.clone())
@@ -320,7 +322,7 @@
         }
         self.heartbeats.extend_share_lease(started_at + SHARE_LEASE);
         if changed {
-            self.journal.set_min_commit_interval(self.commit_interval());
+            self.journal.set_region_commit_interval(self.commit_interval());
             self.shards_reconciled.set(false);
             self.membership.assign_reclaimer().await?;
         }
@@ -353,13 +355,13 @@
         let region = self.membership.own_member().region;
         let assignment =
             |shard| preferred_owner(members.iter(), &region, shard).map(|member| member.id.clone());
-        let is_free = |incarnation: &str| {
+        let is_lost = |incarnation: &str| {
             members
                 .iter()
                 .find(|member| member.id == incarnation)
                 .is_none_or(|member| member.state == MemberState::Fenced)
         };
-        self.shards.reconcile(&assignment, &is_free).await
+        self.shards.reconcile(&assignment, &is_lost).await
     }
 
     /// Sends heartbeats and fences the members that a quorum of their observers suspects.
@@ -397,12 +399,12 @@
     /// Only the live member with the lowest id does so.
     async fn remove_fenced(&self) -> PlatformResult<()> {
         let members = self.membership.members();
-        let gone = self.limits.lost_for(FENCED_ROW_AGE, &members);
+        let expired = self.limits.lost_for(FENCED_ROW_AGE, &members);
         let live = members.iter().filter(|member| member.state == MemberState::Live);
         let first = live.map(|member| member.id.as_str()).min();
-        if gone.is_empty() || first != Some(self.incarnation.id()) {
+        if expired.is_empty() || first != Some(self.incarnation.id()) {
             return Ok(());
         }
-        self.membership.remove(&gone).await
+        self.membership.remove(&expired).await
     }
 }
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -27,7 +27,7 @@
         }
         if let Some(record) = record {
             let mut records = vec![record];
-            records.extend(self.single_call_closed_record(request, &outcome));
+            records.extend(self.closing_record(request, &outcome));
             self.record_end(ticket, records, outcome, on_recorded).await;
         } else {
             ticket.feed.close(outcome);
@@ -43,7 +43,7 @@
         outcome: Result<Answer, Refusal>,
         on_recorded: impl FnOnce(),
     ) {
-        let commit = std::pin::pin!(self.commit(self.append(&ticket.program, records)));
+        let commit = std::pin::pin!(self.wait_committed(self.append(&ticket.program, records)));
         let timeout = self.clock.sleep(self.settings.end_commit_wait);
         match select(commit, timeout).await {
             Either::Left((committed, _)) => {
@@ -65,7 +65,7 @@
         end: AttemptEnd,
     ) -> (Option<Record>, Result<Answer, Refusal>) {
         let call = ticket.key.clone();
-        let is_start_recorded = ticket.dispatch_before.is_some();
+        let is_start_recorded = ticket.dispatch_deadline.is_some();
         match end {
             AttemptEnd::Answered { answer, usage, backend } => {
                 let stored = StoredAnswer {
@@ -90,7 +90,7 @@
         }
     }
 
-    fn single_call_closed_record(
+    fn closing_record(
         &self,
         request: &CallRequest,
         outcome: &Result<Answer, Refusal>,
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -20,7 +20,7 @@
 use crate::record::{CallKey, CloseReason, Entry, Record, StoredAnswer};
 use crate::refusal::{Refusal, RefusalKind};
 use refusals::{budget_exhausted, platform_unavailable};
-use table::{ProgramTable, RunningCall, Slot};
+use table::{OwnedProgram, ProgramTable, RunningCall};
 
 pub use table::UnreleasedProgram;
 pub use types::{Admission, AttemptEnd, CallTicket, OwnerSettings, ProgramSpec};
@@ -65,9 +65,9 @@
     /// Returns the recorded state of a program, which must belong to `team` if one is given.
     #[must_use]
     pub fn program(&self, id: &str, team: Option<&str>) -> Option<Program> {
-        self.table.with(id, |slot| {
-            let matches = team.is_none_or(|team| team == slot.program.team);
-            matches.then(|| slot.program.clone())
+        self.table.with(id, |owned| {
+            let matches = team.is_none_or(|team| team == owned.program.team);
+            matches.then(|| owned.program.clone())
         })?
     }
 
@@ -89,7 +89,7 @@
             return Err(platform_unavailable());
         }
         let record = self.opened_record(&spec, false);
-        self.commit(self.append(&id, vec![record])).await
+        self.wait_committed(self.append(&id, vec![record])).await
     }
 
     /// Ends a program and its sub-agents and waits until this is recorded.
@@ -117,7 +117,7 @@
             let reason = if program == id { reason } else { CloseReason::ParentEnded };
             entries.extend(entry(program, Record::Closed { reason, closed_unix_ms }));
         }
-        self.commit(self.journal.append(entries)).await?;
+        self.wait_committed(self.journal.append(entries)).await?;
         self.table.cancel_running(&subtree);
         Ok(subtree)
     }
@@ -130,7 +130,7 @@
 
     /// Marks that backend servers without a recorded answer may hold memory for a program.
     pub fn mark_unrecorded_backends(&self, program: &str) {
-        self.table.update(program, |slot| slot.has_unrecorded_backends = true);
+        self.table.update(program, |owned| owned.has_unrecorded_backends = true);
     }
 
     /// Records that engines no longer hold memory for these programs.
@@ -187,14 +187,14 @@
         let mut entries = Vec::new();
         for program in programs {
             let id = program.id.clone();
-            let unsettled = unsettled_record(&program);
-            let mut slot = Slot::new(program, self.clock.monotonic());
-            slot.has_unrecorded_backends = true;
-            if let Some(record) = unsettled {
-                slot.blocked_until = Some(blocked_until);
+            let end_record = recovery_end_record(&program);
+            let mut owned = OwnedProgram::new(program, self.clock.monotonic());
+            owned.has_unrecorded_backends = true;
+            if let Some(record) = end_record {
+                owned.blocked_until = Some(blocked_until);
                 entries.extend(entry(&id, record));
             }
-            self.table.insert(slot);
+            self.table.insert(owned);
         }
         if !entries.is_empty() {
             drop(self.journal.append(entries));
@@ -213,29 +213,34 @@
 
     fn next_step(&self, request: &CallRequest, digest: &str) -> Result<Step, Refusal> {
         self.ensure_single_call_program(request);
-        let step = self.table.with(&request.program, |slot| self.step_of(slot, request, digest));
+        let step = self.table.with(&request.program, |owned| self.step_of(owned, request, digest));
         step.unwrap_or_else(|| Err(Refusal::program_unknown()))
     }
 
-    fn step_of(&self, slot: &Slot, request: &CallRequest, digest: &str) -> Result<Step, Refusal> {
-        if let Some(running) = &slot.running
-            && slot.program.team == request.team
+    fn step_of(
+        &self,
+        owned: &OwnedProgram,
+        request: &CallRequest,
+        digest: &str,
+    ) -> Result<Step, Refusal> {
+        if let Some(running) = &owned.running
+            && owned.program.team == request.team
             && running.key.sequence == request.sequence
         {
-            return join_running(running, request, digest, &slot.changed);
+            return join_running(running, request, digest, &owned.changed);
         }
-        match slot.program.decide(request, digest) {
+        match owned.program.decide(request, digest) {
             Decision::Refuse(refusal) => Err(refusal),
             Decision::Recorded(answer) => Ok(Step::Recorded(answer)),
-            Decision::Wait => Ok(Step::Wait(Rc::clone(&slot.changed), None)),
-            Decision::Run { attempt } => Ok(self.run_or_wait(slot, attempt)),
+            Decision::Wait => Ok(Step::Wait(Rc::clone(&owned.changed), None)),
+            Decision::Run { attempt } => Ok(self.run_or_wait(owned, attempt)),
         }
     }
 
-    fn run_or_wait(&self, slot: &Slot, attempt: u32) -> Step {
-        let blocked_until = slot.blocked_until.filter(|until| self.clock.monotonic() < *until);
-        if slot.running.is_some() || blocked_until.is_some() {
-            return Step::Wait(Rc::clone(&slot.changed), blocked_until);
+    fn run_or_wait(&self, owned: &OwnedProgram, attempt: u32) -> Step {
+        let blocked_until = owned.blocked_until.filter(|until| self.clock.monotonic() < *until);
+        if owned.running.is_some() || blocked_until.is_some() {
+            return Step::Wait(Rc::clone(&owned.changed), blocked_until);
         }
         Step::Run { attempt }
     }
@@ -291,7 +296,7 @@
             program: request.program.clone(),
             key,
             feed,
-            dispatch_before: None,
+            dispatch_deadline: None,
             reserved_tokens,
             incarnation: self.journal.incarnation().to_owned(),
             fencing_number: 0,
@@ -299,7 +304,7 @@
         if records_start {
             let commit_started = self.clock.monotonic();
             self.record_start(&ticket).await?;
-            ticket.dispatch_before = Some(commit_started + self.settings.dispatch_window);
+            ticket.dispatch_deadline = Some(commit_started + self.settings.dispatch_window);
         }
         Ok(Admission::Run(ticket))
     }
@@ -331,9 +336,9 @@
         let spec = ProgramSpec { team: request.team.clone(), parent: None, budget_tokens: None };
         let record = self.opened_record(&spec, true);
         if let Some(program) = Program::from_opened(&request.program, &record) {
-            let mut slot = Slot::new(program, self.clock.monotonic());
-            slot.unrecorded_opened = Some(record);
-            self.table.insert(slot);
+            let mut owned = OwnedProgram::new(program, self.clock.monotonic());
+            owned.pending_opening = Some(record);
+            self.table.insert(owned);
         }
     }
 
@@ -368,12 +373,12 @@
     }
 
     fn append(&self, program: &str, records: Vec<Record>) -> CommitTicket {
-        let opened = self.table.update(program, |slot| slot.unrecorded_opened.take()).flatten();
+        let opened = self.table.update(program, |owned| owned.pending_opening.take()).flatten();
         let records = opened.into_iter().chain(records);
         self.journal.append(records.filter_map(|record| entry(program, record)).collect())
     }
 
-    async fn commit(&self, ticket: CommitTicket) -> Result<(), Refusal> {
+    async fn wait_committed(&self, ticket: CommitTicket) -> Result<(), Refusal> {
         match ticket.await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(JournalError::Fenced)) | Err(_) => Err(Refusal::unknown(
@@ -391,19 +396,19 @@
         unrecorded_tokens: u64,
     ) {
         let now = self.clock.monotonic();
-        self.table.update(program, |slot| {
-            slot.used_at = now;
-            slot.running =
+        self.table.update(program, |owned| {
+            owned.used_at = now;
+            owned.running =
                 Some(RunningCall { key: key.clone(), feed: Arc::clone(feed), unrecorded_tokens });
         });
     }
 
     fn clear_running(&self, program: &str) {
         let now = self.clock.monotonic();
-        self.table.update(program, |slot| {
-            slot.running = None;
-            slot.used_at = now;
-            slot.changed.notify_waiters();
+        self.table.update(program, |owned| {
+            owned.running = None;
+            owned.used_at = now;
+            owned.changed.notify_waiters();
         });
     }
 }
@@ -426,7 +431,7 @@
     Ok(Step::Join(Arc::clone(&running.feed)))
 }
 
-fn unsettled_record(program: &Program) -> Option<Record> {
+fn recovery_end_record(program: &Program) -> Option<Record> {
     let call =
         program.calls.values().find(|call| matches!(call.phase, CallPhase::Started { .. }))?;
     let CallPhase::Started { reserved_tokens } = call.phase else {
--- a/crates/coordination/src/owner/table.rs
+++ b/crates/coordination/src/owner/table.rs
@@ -27,7 +27,7 @@
 
 /// A program and its volatile state.
 #[derive(Debug)]
-pub(super) struct Slot {
+pub(super) struct OwnedProgram {
     /// Recorded state.
     pub program: Program,
     /// Call in flight; at most one per program.
@@ -39,7 +39,7 @@
     /// Whether backend servers without a recorded answer may hold memory for the program.
     pub has_unrecorded_backends: bool,
     /// Opening of an implicit program, to be committed with the program's next record.
-    pub unrecorded_opened: Option<Record>,
+    pub pending_opening: Option<Record>,
     /// Monotonic time of the last start or end of a call.
     pub used_at: Duration,
 }
@@ -55,7 +55,7 @@
     pub has_unrecorded_backends: bool,
 }
 
-impl Slot {
+impl OwnedProgram {
     pub fn new(program: Program, now: Duration) -> Self {
         Self {
             program,
@@ -63,7 +63,7 @@
             changed: Rc::new(Notify::new()),
             blocked_until: None,
             has_unrecorded_backends: false,
-            unrecorded_opened: None,
+            pending_opening: None,
             used_at: now,
         }
     }
@@ -96,35 +96,35 @@
 /// Programs by id, and the ids of their direct sub-agents.
 #[derive(Debug, Default)]
 pub(super) struct ProgramTable {
-    slots: RefCell<HashMap<ProgramId, Slot>>,
+    owned_programs: RefCell<HashMap<ProgramId, OwnedProgram>>,
     children: RefCell<HashMap<ProgramId, Vec<ProgramId>>>,
 }
 
 impl ProgramTable {
     pub fn len(&self) -> usize {
-        self.slots.borrow().len()
+        self.owned_programs.borrow().len()
     }
 
     pub fn contains(&self, id: &str) -> bool {
-        self.slots.borrow().contains_key(id)
+        self.owned_programs.borrow().contains_key(id)
     }
 
     /// Calls `read` with the slot of a program, if there is one.
-    pub fn with<R>(&self, id: &str, read: impl FnOnce(&Slot) -> R) -> Option<R> {
-        self.slots.borrow().get(id).map(read)
+    pub fn with<R>(&self, id: &str, read: impl FnOnce(&OwnedProgram) -> R) -> Option<R> {
+        self.owned_programs.borrow().get(id).map(read)
     }
 
     /// Calls `change` with the slot of a program, if there is one.
-    pub fn update<R>(&self, id: &str, change: impl FnOnce(&mut Slot) -> R) -> Option<R> {
-        self.slots.borrow_mut().get_mut(id).map(change)
+    pub fn update<R>(&self, id: &str, change: impl FnOnce(&mut OwnedProgram) -> R) -> Option<R> {
+        self.owned_programs.borrow_mut().get_mut(id).map(change)
     }
 
-    pub fn insert(&self, slot: Slot) {
-        if let Some(parent) = &slot.program.parent {
+    pub fn insert(&self, owned: OwnedProgram) {
+        if let Some(parent) = &owned.program.parent {
             let mut children = self.children.borrow_mut();
-            children.entry(parent.clone()).or_default().push(slot.program.id.clone());
+            children.entry(parent.clone()).or_default().push(owned.program.id.clone());
         }
-        self.slots.borrow_mut().insert(slot.program.id.clone(), slot);
+        self.owned_programs.borrow_mut().insert(owned.program.id.clone(), owned);
     }
 
     /// Applies a committed record; inserts the program if the record opens it.
@@ -132,12 +132,12 @@
         if !self.contains(id)
             && let Some(program) = Program::from_opened(id, record)
         {
-            self.insert(Slot::new(program, now));
+            self.insert(OwnedProgram::new(program, now));
         }
-        self.update(id, |slot| {
-            slot.program.apply(record);
-            slot.update_running(record);
-            slot.changed.notify_waiters();
+        self.update(id, |owned| {
+            owned.program.apply(record);
+            owned.update_running(record);
+            owned.changed.notify_waiters();
         });
     }
 
@@ -147,8 +147,8 @@
         let mut subtree = vec![id.to_owned()];
         let mut position = 0;
         while position < subtree.len() {
-            if let Some(below) = children.get(&subtree[position]) {
-                subtree.extend(below.iter().cloned());
+            if let Some(sub_agents) = children.get(&subtree[position]) {
+                subtree.extend(sub_agents.iter().cloned());
             }
             position += 1;
         }
@@ -157,14 +157,18 @@
 
     /// Returns the tokens charged to `id` and all its descendants, including reservations.
     pub fn subtree_spent_tokens(&self, id: &str) -> u64 {
-        let slots = self.slots.borrow();
-        self.subtree(id).iter().filter_map(|id| slots.get(id)).map(Slot::spent_tokens).sum()
+        let owned_programs = self.owned_programs.borrow();
+        self.subtree(id)
+            .iter()
+            .filter_map(|id| owned_programs.get(id))
+            .map(OwnedProgram::spent_tokens)
+            .sum()
     }
 
     /// Cancels the running calls that are repeatable; the others run to completion.
     pub fn cancel_running(&self, programs: &[ProgramId]) {
-        let slots = self.slots.borrow();
-        let calls = programs.iter().filter_map(|id| slots.get(id)?.running.as_ref());
+        let owned_programs = self.owned_programs.borrow();
+        let calls = programs.iter().filter_map(|id| owned_programs.get(id)?.running.as_ref());
         for call in calls.filter(|call| call.key.repeatable) {
             call.feed.close(Err(Refusal::unknown(
                 RefusalKind::Cancelled,
@@ -174,48 +178,48 @@
     }
 
     pub fn unreleased(&self) -> Vec<UnreleasedProgram> {
-        let slots = self.slots.borrow();
-        let ended = slots.values().filter(|slot| {
-            slot.program.closed.is_some() && !slot.program.released && slot.running.is_none()
+        let owned_programs = self.owned_programs.borrow();
+        let ended = owned_programs.values().filter(|owned| {
+            owned.program.closed.is_some() && !owned.program.released && owned.running.is_none()
         });
         ended
-            .map(|slot| UnreleasedProgram {
-                program: slot.program.id.clone(),
-                backends: slot.program.backends.iter().cloned().collect(),
-                has_unrecorded_backends: slot.has_unrecorded_backends,
+            .map(|owned| UnreleasedProgram {
+                program: owned.program.id.clone(),
+                backends: owned.program.backends.iter().cloned().collect(),
+                has_unrecorded_backends: owned.has_unrecorded_backends,
             })
             .collect()
     }
 
     pub fn idle_since(&self, before: Duration) -> Vec<ProgramId> {
-        let slots = self.slots.borrow();
-        let idle = slots.values().filter(|slot| {
-            slot.program.closed.is_none() && slot.running.is_none() && slot.used_at < before
+        let owned_programs = self.owned_programs.borrow();
+        let idle = owned_programs.values().filter(|owned| {
+            owned.program.closed.is_none() && owned.running.is_none() && owned.used_at < before
         });
-        idle.map(|slot| slot.program.id.clone()).collect()
+        idle.map(|owned| owned.program.id.clone()).collect()
     }
 
     pub fn programs_in_shard(&self, shard: ShardId) -> Vec<Program> {
-        let slots = self.slots.borrow();
-        let of_shard = slots.values().filter(|slot| slot.is_in_shard(shard));
-        of_shard.map(|slot| slot.program.clone()).collect()
+        let owned_programs = self.owned_programs.borrow();
+        let of_shard = owned_programs.values().filter(|owned| owned.is_in_shard(shard));
+        of_shard.map(|owned| owned.program.clone()).collect()
     }
 
     pub fn has_running_calls(&self, shard: ShardId) -> bool {
-        let slots = self.slots.borrow();
-        slots.values().any(|slot| slot.running.is_some() && slot.is_in_shard(shard))
+        let owned_programs = self.owned_programs.borrow();
+        owned_programs.values().any(|owned| owned.running.is_some() && owned.is_in_shard(shard))
     }
 
     pub fn remove_shard(&self, shard: ShardId) {
-        self.slots.borrow_mut().retain(|_, slot| !slot.is_in_shard(shard));
+        self.owned_programs.borrow_mut().retain(|_, owned| !owned.is_in_shard(shard));
         self.children.borrow_mut().retain(|id, _| shard_of_program(id) != Some(shard));
     }
 
     pub fn expire(&self, closed_before_unix_ms: u64) {
-        self.slots.borrow_mut().retain(|_, slot| {
-            slot.running.is_some()
-                || !slot.program.released
-                || slot.program.closed.is_none_or(|(_, closed)| closed >= closed_before_unix_ms)
+        self.owned_programs.borrow_mut().retain(|_, owned| {
+            owned.running.is_some()
+                || !owned.program.released
+                || owned.program.closed.is_none_or(|(_, closed)| closed >= closed_before_unix_ms)
         });
     }
 }
--- a/crates/coordination/src/owner/types.rs
+++ b/crates/coordination/src/owner/types.rs
@@ -46,7 +46,7 @@
     pub feed: Arc<CallFeed>,
     /// Monotonic time after which nothing may be sent to a backend server; `None` if the start is
     /// not recorded.
-    pub dispatch_before: Option<Duration>,
+    pub dispatch_deadline: Option<Duration>,
     /// Tokens reserved for the attempt.
     pub reserved_tokens: u64,
     /// Incarnation that admitted the call; only this one may record its end.
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -33,7 +33,7 @@
 
 #[derive(Debug, Clone)]
 struct OwnedShard {
-    version: u64,
+    row_version: u64,
     row: ShardRow,
     phase: Phase,
 }
@@ -121,7 +121,7 @@
 
     /// Claims and releases shards to match `assignment`; returns whether nothing is left to do.
     ///
-    /// `assignment` returns the preferred owner of a shard, and `is_free` whether an incarnation
+    /// `assignment` returns the preferred owner of a shard, and `is_lost` whether an incarnation
     /// can no longer commit anything.
     ///
     /// # Errors
@@ -130,7 +130,7 @@
     pub async fn reconcile(
         &self,
         assignment: &dyn Fn(ShardId) -> Option<IncarnationId>,
-        is_free: &dyn Fn(&str) -> bool,
+        is_lost: &dyn Fn(&str) -> bool,
     ) -> PlatformResult<bool> {
         let rows = self.read_rows().await?;
         let own_id = self.incarnation.id();
@@ -145,8 +145,8 @@
             if is_owned && !wanted && preferred.is_some() {
                 self.set_phase(shard, Phase::Draining);
             }
-            let free = row.owner.as_deref().is_none_or(is_free);
-            if !is_owned && (is_own_row || wanted && free) {
+            let is_claimable = row.owner.as_deref().is_none_or(is_lost);
+            if !is_owned && (is_own_row || wanted && is_claimable) {
                 claims.push((shard, version, row));
             } else if row.owner != preferred {
                 settled = false;
@@ -239,9 +239,9 @@
             return false;
         };
         if is_own_row {
-            held.version = version;
+            held.row_version = version;
             held.row = row.clone();
-        } else if version >= held.version {
+        } else if version >= held.row_version {
             warn!("event=shard_lost shard={shard}");
             self.incarnation.mark_fenced();
         }
@@ -283,7 +283,7 @@
         let mut owners = self.owners.borrow_mut();
         for (shard, row) in claimed {
             owners.insert(shard, self.incarnation.id().to_owned());
-            owned.insert(shard, OwnedShard { version, row, phase: Phase::Recovering });
+            owned.insert(shard, OwnedShard { row_version: version, row, phase: Phase::Recovering });
         }
         Ok(true)
     }
@@ -378,7 +378,7 @@
             first_commit,
             end_commit: None,
         }];
-        self.write_row(shard, owned.version, row).await?;
+        self.write_row(shard, owned.row_version, row).await?;
         Ok(())
     }
 
@@ -415,7 +415,7 @@
             return Ok(false);
         };
         if let Some(owned) = self.owned.borrow_mut().get_mut(&shard) {
-            owned.version = version;
+            owned.row_version = version;
             owned.row = row;
         }
         Ok(true)
@@ -434,7 +434,7 @@
             }
             row.segments.retain(|segment| Some(segment.first_commit) != segment.end_commit);
             let key = shard_key(&self.region, *shard);
-            transaction = transaction.require(Table::Shards, &key, owned.version).put(
+            transaction = transaction.require(Table::Shards, &key, owned.row_version).put(
                 Table::Shards,
                 &key,
                 serde_json::to_value(&row).unwrap_or_default(),
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -7,7 +7,7 @@
 
 use dandelionfront_coordination::config::publish::{Publication, PublishError, Published};
 use dandelionfront_coordination::ids::{
-    BackendId, ProgramId, ShardId, TeamId, home_of_program, program_id,
+    BackendId, ProgramId, ShardId, TeamId, parse_program_id, program_id,
 };
 use dandelionfront_coordination::journal::load_body;
 use dandelionfront_coordination::owner::ProgramSpec;
@@ -267,11 +267,11 @@
 
     /// Returns the node and the shard of a program, if this node serves it.
     fn serving_node(&self, program: &str) -> Result<(Rc<Node>, ShardId), Refusal> {
-        let home = home_of_program(program).ok_or_else(Refusal::program_unknown)?;
+        let region_shard = parse_program_id(program).ok_or_else(Refusal::program_unknown)?;
         let node = self.node();
-        let is_own_region = home.region == self.settings.identity.region;
-        if is_own_region && node.shards().is_serving(home.shard) {
-            Ok((node, home.shard))
+        let is_own_region = region_shard.region == self.settings.identity.region;
+        if is_own_region && node.shards().is_serving(region_shard.shard) {
+            Ok((node, region_shard.shard))
         } else {
             Err(Refusal::not_owner())
         }
--- a/crates/daemon/src/process/handle.rs
+++ b/crates/daemon/src/process/handle.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 use std::rc::Rc;
 
-use dandelionfront_coordination::ids::{BackendId, ProgramHome, ProgramId, RouteId, TeamId};
+use dandelionfront_coordination::ids::{BackendId, ProgramId, RegionShard, RouteId, TeamId};
 use dandelionfront_coordination::owner::ProgramSpec;
 use dandelionfront_coordination::record::CloseReason;
 use dandelionfront_coordination::{
@@ -61,14 +61,14 @@
         result.await.map_err(|_| stopped())
     }
 
-    /// Returns where calls for a program of this home are served.
+    /// Returns where calls for programs of this region and shard are served.
     ///
     /// # Errors
     ///
     /// Refuses when the control thread has stopped.
-    pub async fn locate(&self, home: &ProgramHome) -> Result<Location, Refusal> {
-        let home = home.clone();
-        self.run(move |control| async move { control.node().locate(&home) }).await
+    pub async fn locate(&self, region_shard: &RegionShard) -> Result<Location, Refusal> {
+        let region_shard = region_shard.clone();
+        self.run(move |control| async move { control.node().locate(&region_shard) }).await
     }
 
     /// Takes one token of `team` before a request is served.
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -109,7 +109,7 @@
 }
 
 fn is_past_deadline(worker: &Worker, ticket: &CallTicket) -> bool {
-    ticket.dispatch_before.is_some_and(|before| worker.shared.clock.monotonic() >= before)
+    ticket.dispatch_deadline.is_some_and(|deadline| worker.shared.clock.monotonic() >= deadline)
 }
 
 async fn try_backend(
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dandelionfront_coordination::ids::{
-    CallSequence, ProgramHome, ProgramId, RouteId, home_of_program,
+    CallSequence, ProgramId, RegionShard, RouteId, parse_program_id,
 };
 use dandelionfront_coordination::owner::ProgramSpec;
 use dandelionfront_coordination::program::{Call, CallPhase};
@@ -100,9 +100,9 @@
     team: Option<String>,
     reason: CloseReason,
 ) -> Result<Vec<ProgramId>, Refusal> {
-    let home = home_of_program(id).ok_or_else(Refusal::program_unknown)?;
+    let region_shard = parse_program_id(id).ok_or_else(Refusal::program_unknown)?;
     let close = ProgramRequest::Close { id: id.to_owned(), team, reason };
-    match ask_owner(worker, &home, close).await? {
+    match ask_owner(worker, &region_shard, close).await? {
         ProgramReply::Closed(ended) => Ok(ended),
         _ => Err(owner_confused()),
     }
@@ -118,8 +118,8 @@
     id: &str,
     request: ProgramRequest,
 ) -> Result<ProgramView, Refusal> {
-    let home = home_of_program(id).ok_or_else(Refusal::program_unknown)?;
-    let ProgramReply::State(program) = ask_owner(worker, &home, request).await? else {
+    let region_shard = parse_program_id(id).ok_or_else(Refusal::program_unknown)?;
+    let ProgramReply::State(program) = ask_owner(worker, &region_shard, request).await? else {
         return Err(owner_confused());
     };
     let load = move |control: Rc<Control>| async move { view(&control, *program).await };
@@ -171,24 +171,24 @@
     let budget_tokens = team_budget(&config, &team)
         .map_or(wanted.budget_tokens, |own| Some(wanted.budget_tokens.unwrap_or(own).min(own)));
     let spec = ProgramSpec { team, parent: wanted.parent, budget_tokens };
-    let home = match &spec.parent {
-        Some(parent) => home_of_program(parent).ok_or_else(Refusal::program_unknown)?,
-        None => new_home(worker).await?,
+    let region_shard = match &spec.parent {
+        Some(parent) => parse_program_id(parent).ok_or_else(Refusal::program_unknown)?,
+        None => choose_region_shard(worker).await?,
     };
-    match ask_owner(worker, &home, ProgramRequest::Open(spec)).await? {
+    match ask_owner(worker, &region_shard, ProgramRequest::Open(spec)).await? {
         ProgramReply::Opened(id) => Ok(id),
         _ => Err(owner_confused()),
     }
 }
 
-/// Returns a home served here, or any home of the region while this node serves none.
-async fn new_home(worker: &Worker) -> Result<ProgramHome, Refusal> {
+/// Returns a shard served here, or any shard of the region while this node serves none.
+async fn choose_region_shard(worker: &Worker) -> Result<RegionShard, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
     let shards = worker.shared.control.run(serving).await?;
     let position = rand::random_range(0..shards.len().max(1));
     let any = || rand::random_range(0..worker.shared.settings.node.shard_count);
     let shard = shards.get(position).copied().unwrap_or_else(any);
-    Ok(ProgramHome { region: worker.shared.settings.identity.region.clone(), shard })
+    Ok(RegionShard { region: worker.shared.settings.identity.region.clone(), shard })
 }
 
 fn team_budget(config: &ConfigSnapshot, team: &str) -> Option<u64> {
@@ -202,17 +202,17 @@
     Ok(caller.team)
 }
 
-/// Sends a program request to the owner of `home`, wherever that is.
+/// Sends a program request to the owner of `region_shard`, wherever that is.
 async fn ask_owner(
     worker: &Worker,
-    home: &ProgramHome,
+    region_shard: &RegionShard,
     request: ProgramRequest,
 ) -> Result<ProgramReply, Refusal> {
     let process = &worker.shared;
     let give_up_at = process.clock.monotonic() + process.settings.owner_wait;
     let mut run = RunState::NotRun;
     loop {
-        let failure = match ask_once(worker, home, &request).await? {
+        let failure = match ask_once(worker, region_shard, &request).await? {
             Ok(ProgramReply::Refused(refusal)) if refusal.kind == RefusalKind::NotOwner => {
                 RetryReason::OwnerMoved
             }
@@ -238,10 +238,10 @@
 
 async fn ask_once(
     worker: &Worker,
-    home: &ProgramHome,
+    region_shard: &RegionShard,
     request: &ProgramRequest,
 ) -> Result<Result<ProgramReply, ForwardError>, Refusal> {
-    Ok(match worker.shared.control.locate(home).await? {
+    Ok(match worker.shared.control.locate(region_shard).await? {
         Location::Local => Ok(serve_program_request(worker, request.clone()).await),
         Location::Remote(address) => {
             send_program_request(&worker.clients.peers, &address, request, REPLY_WAIT).await
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dandelionfront_coordination::call::FeedReader;
-use dandelionfront_coordination::ids::home_of_program;
+use dandelionfront_coordination::ids::parse_program_id;
 use dandelionfront_coordination::record::StoredAnswer;
 use dandelionfront_coordination::{
     Admission, Answer, CallEvent, CallFeed, CallRequest, Clock as _, Location, Payload, Refusal,
@@ -199,9 +199,10 @@
     }
 
     async fn attach(&mut self) -> Result<(), Refusal> {
-        let home = home_of_program(&self.request.program).ok_or_else(Refusal::program_unknown)?;
+        let region_shard =
+            parse_program_id(&self.request.program).ok_or_else(Refusal::program_unknown)?;
         loop {
-            let location = self.worker.shared.control.locate(&home).await?;
+            let location = self.worker.shared.control.locate(&region_shard).await?;
             let failure = match location {
                 Location::Local => match self.attach_local().await {
                     Err(refusal) if refusal.kind == RefusalKind::NotOwner => {
