--- a/crates/coordination/src/config/check.rs
+++ b/crates/coordination/src/config/check.rs
@@ -17,14 +17,14 @@
     pub line: usize,
 }
 
-/// A fault in an object set.
+/// A problem in an object set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
     /// Position of the object or field, if it was read from a file.
     pub position: Option<Position>,
     /// Object and field, such as `route.desk.service`.
     pub object: String,
-    /// Description of the fault and how to fix it.
+    /// Description of the problem and how to fix it.
     pub message: String,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// Returns every fault in `set`; a set without faults can be published.
+/// Returns every problem in `set`; a set without problems can be published.
 #[must_use]
 pub fn check(set: &ObjectSet) -> Vec<Problem> {
     let mut checker = Checker { set, problems: Vec::new() };
--- a/crates/coordination/src/config/files.rs
+++ b/crates/coordination/src/config/files.rs
@@ -10,9 +10,10 @@
 use super::check::{Position, Problem, check};
 use super::objects::{Backend, Budget, Key, Limit, Model, ObjectSet, Route, Service, Team};
 
-/// Function that parses one object of a kind and returns it in canonical form.
+/// Parses one object of a kind and returns it as JSON, with defaults filled in.
 type ParseObject = fn(toml::Value) -> Result<Value, String>;
 
+/// Kinds of objects, by table name, with their parsers.
 const KINDS: &[(&str, ParseObject)] = &[
     ("team", parse_object::<Team>),
     ("key", parse_object::<Key>),
@@ -77,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Returns all syntax, reference, cycle and range faults, with file and line where known.
+    /// Returns all syntax, reference, cycle and range problems, with file and line where known.
     pub fn finish(mut self) -> Result<ObjectSet, Vec<Problem>> {
         let values = serde_json::to_value(&self.values).unwrap_or_default();
         match serde_json::from_value::<ObjectSet>(values) {
--- a/crates/coordination/src/config/objects.rs
+++ b/crates/coordination/src/config/objects.rs
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Rate limit of the team's requests, enforced over all nodes together.
+    /// Name of the limit on the team's requests.
     pub limit: String,
-    /// Token budget of each of the team's programs; `None` means unlimited.
+    /// Name of the token budget of each of the team's programs; `None` means unlimited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub budget: Option<String>,
     /// Weight of the team relative to others when teams contend for model engines.
@@ -44,7 +44,7 @@
 pub struct Model {
     /// Maximum number of prompt and completion tokens together.
     pub context_tokens: u64,
-    /// Maximum number of completion tokens of calls that do not set one.
+    /// Maximum number of completion tokens for a call that does not set one.
     #[serde(default = "default_completion_tokens")]
     pub default_completion_tokens: u64,
 }
@@ -130,7 +130,7 @@
     pub program_tokens: u64,
 }
 
-/// Rate limit of a team, enforced over all nodes together.
+/// Rate limit, applied separately to each team that names it and enforced across all nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
@@ -188,7 +188,7 @@
         self.len() == 0
     }
 
-    /// Returns the digest of the set.
+    /// Returns the hexadecimal SHA-256 digest of the JSON form of the set.
     #[must_use]
     pub fn digest(&self) -> String {
         sha256_hex(&serde_json::to_vec(self).unwrap_or_default())
@@ -233,6 +233,7 @@
         serde_json::from_value(serde_json::to_value(by_kind)?)
     }
 
+    /// Returns the objects as JSON, by kind and name.
     fn by_kind(&self) -> ObjectsByKind {
         let value = serde_json::to_value(self).unwrap_or_default();
         serde_json::from_value(value).unwrap_or_default()
--- a/crates/coordination/src/config/publish.rs
+++ b/crates/coordination/src/config/publish.rs
@@ -19,7 +19,8 @@
 
 /// Changes larger than this are stored in the object store.
 const INLINE_MAX_BYTES: usize = 64 * 1024;
-/// The complete set is stored with every version that is a multiple of this.
+/// The complete set is stored with every version that is a multiple of this, which bounds the
+/// number of changes that [`ConfigStore::catch_up`] applies.
 const FULL_SET_INTERVAL: u64 = 64;
 
 /// Value of a configuration row.
@@ -33,7 +34,7 @@
     pub publish_id: String,
     /// Author of the publication, as given by the operator.
     pub author: String,
-    /// Time of publication, since the Unix epoch.
+    /// Unix time of publication, in milliseconds.
     pub published_unix_ms: u64,
     /// Number of changed objects.
     pub change_count: usize,
@@ -60,7 +61,7 @@
     }
 }
 
-/// A request to publish.
+/// A request to publish a set of objects.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Publication {
     /// Version that the objects were derived from.
@@ -76,10 +77,10 @@
 /// Failure of a publication.
 #[derive(Debug, Snafu)]
 pub enum PublishError {
-    /// The set has faults.
+    /// The set has problems.
     #[snafu(display("the objects have {} faults; mend them and publish again", problems.len()))]
     Invalid {
-        /// The faults.
+        /// The problems.
         problems: Vec<Problem>,
     },
     /// Another publication was accepted first.
@@ -122,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the set has faults, another publication came first, or the platform failed.
+    /// Fails when the set has problems, another publication came first, or the platform failed.
     pub async fn publish(
         &self,
         publication: &Publication,
@@ -155,10 +156,10 @@
         }
     }
 
-    /// Brings the caller's objects from version `from` up to version `to`.
+    /// Returns `from`, a version with its objects, updated to version `to`.
     ///
-    /// Returns the version reached, its objects and the rows of the versions applied one by one,
-    /// which exclude those skipped by loading a complete set.
+    /// The result holds the version, its objects, and the rows of the versions whose changes were
+    /// applied. Versions skipped by loading a complete set have no row in it.
     ///
     /// # Errors
     ///
@@ -299,6 +300,7 @@
         Ok(())
     }
 
+    /// Writes the version and head rows; returns whether they are known to be written.
     async fn commit(
         &self,
         head_version: u64,
@@ -319,6 +321,7 @@
             .put(Table::Configs, &key, serde_json::to_value(row).unwrap_or_default());
         match self.platform.table.transact(&transaction).await {
             Ok(outcome) => Ok(matches!(outcome, TransactionOutcome::Committed(_))),
+            // The write may have taken effect; the caller then finds the row as a duplicate.
             Err(PlatformError::AnswerLost { .. }) => Ok(false),
             Err(error) => Err(error),
         }
--- a/crates/coordination/src/config/snapshot.rs
+++ b/crates/coordination/src/config/snapshot.rs
@@ -25,7 +25,7 @@
 }
 
 impl ConfigSnapshot {
-    /// Indexes `objects` as `version`.
+    /// Creates a snapshot of `objects`, published as `version`.
     #[must_use]
     pub fn new(version: ConfigVersion, objects: ObjectSet) -> Self {
         let keys_by_digest =
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the route `name` if `team` may use it; `None` stands for a caller without a key.
+    /// Returns the route `name` if `team` may use it; `team` is `None` for a caller without a key.
     ///
     /// # Errors
     ///
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Returns the limit of a team; requests without a key have none.
+    /// Returns the limit of a team, or `None` if the team is unknown.
     #[must_use]
     pub fn team_limit(&self, team: &str) -> Option<&Limit> {
         self.objects.limit.get(&self.objects.team.get(team)?.limit)
@@ -119,7 +119,7 @@
     if key.withdrawn { Err(key_withdrawn()) } else { Ok(()) }
 }
 
-/// Creates the refusal of a request whose key was withdrawn before the request ran.
+/// Creates the refusal of a request whose key is no longer valid.
 fn key_withdrawn() -> Refusal {
     Refusal::not_run(
         RefusalKind::KeyWithdrawn,
--- a/crates/coordination/src/detector.rs
+++ b/crates/coordination/src/detector.rs
@@ -7,12 +7,13 @@
 use crate::members::{Member, MemberState};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of observers of each member.
+/// Maximum number of observers of a member; a region with fewer other members provides fewer.
 pub const OBSERVERS_PER_MEMBER: usize = 3;
-/// Number of observers that must suspect a member before it is fenced.
+/// Number of observers that must suspect a member before it is fenced, or all of them if there are
+/// fewer.
 pub const OBSERVER_QUORUM: usize = 2;
 
-/// Returns the members that observe `target`, preferably from different zones other than its own.
+/// Returns the members of `target`'s region that observe it, preferring one from each other zone.
 #[must_use]
 pub fn observers<'a>(members: &'a [Member], target: &Member) -> Vec<&'a Member> {
     let mut ranked: Vec<&Member> = members
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Selects backend servers for calls by this node's number of outstanding calls at each.
+//! Selects, for each call, the backend server with the fewest calls in flight from this node.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -7,9 +7,9 @@
 use crate::ids::BackendId;
 use crate::refusal::{Refusal, RefusalKind};
 
-/// Maximum number of retries that the budget can hold.
+/// Capacity of the retry budget: the number of retries allowed in a burst.
 const RETRY_BURST: f64 = 10.0;
-/// Share of a retry that each first attempt adds to the budget.
+/// Retries that each first attempt adds to the retry budget.
 const RETRIES_PER_CALL: f64 = 0.1;
 
 /// A backend server chosen for one attempt.
@@ -21,7 +21,7 @@
     pub address: String,
 }
 
-/// Counts outstanding calls and selects the least loaded backend server.
+/// Counts the calls in flight at each backend server and selects the least loaded one.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     in_flight: RefCell<HashMap<BackendId, u32>>,
@@ -29,7 +29,7 @@
     retry_budget: RefCell<RetryBudget>,
 }
 
-/// Token bucket that limits retries to a share of first attempts.
+/// Token bucket that limits retries to a fraction of the first attempts.
 #[derive(Debug)]
 struct RetryBudget {
     retries: f64,
@@ -58,6 +58,9 @@
 impl Dispatcher {
     /// Selects a backend server for the model or plain service `served`, excluding `tried`.
     ///
+    /// The attempt is counted as in flight until [`Dispatcher::release`]. If `tried` is not empty,
+    /// the attempt is a retry and spends from the retry budget.
+    ///
     /// # Errors
     ///
     /// Refuses when no active backend server is left or the retry budget is exhausted.
@@ -93,7 +96,8 @@
         Ok(Placement { backend: name.clone(), address: backend.address.clone() })
     }
 
-    /// Sets the addresses that the platform reports as leaving or gone.
+    /// Excludes the backend servers at these addresses, which the platform reports as leaving or
+    /// gone; replaces the previous addresses.
     pub fn set_leaving(&self, addresses: HashSet<String>) {
         *self.leaving.borrow_mut() = addresses;
     }
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -1,4 +1,4 @@
-//! Splits a stream of server-sent events into events.
+//! Incremental parser for a stream of server-sent events.
 
 use std::collections::VecDeque;
 
@@ -13,7 +13,7 @@
     pub data: Vec<u8>,
 }
 
-/// Maximum size of a buffered incomplete event; events of the engines are under a kilobyte.
+/// Maximum size of an incomplete event in the buffer; events of the engines are under a kilobyte.
 const EVENT_MAX_BYTES: usize = 1024 * 1024;
 
 /// Splits the bytes of a stream into complete events.
@@ -24,7 +24,8 @@
 }
 
 impl EventSplitter {
-    /// Appends bytes; returns `false` when the last, incomplete event exceeds the maximum size.
+    /// Appends bytes; returns `false` if the incomplete event at the end exceeds the maximum size,
+    /// after which the caller must stop reading the stream.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.partial.extend_from_slice(bytes);
         let mut start = 0;
--- a/crates/coordination/src/heartbeat.rs
+++ b/crates/coordination/src/heartbeat.rs
@@ -14,9 +14,9 @@
 use crate::members::{Member, MemberState};
 use crate::peers::{Heartbeat, HeartbeatReply, Peers};
 
-/// Duration of the lease on the sender's limit shares that a heartbeat reply grants.
+/// Duration of the lease on a node's limit shares, which are not reclaimed before it has expired.
 ///
-/// The replying node does not reclaim the shares before the lease has expired.
+/// A heartbeat reply from the node's reclaimer and a successful membership poll grant the lease.
 pub const SHARE_LEASE: Duration = Duration::from_secs(3);
 
 /// Newer configuration reported by a peer.
@@ -28,7 +28,7 @@
     pub peer_address: String,
 }
 
-/// This node's observers and the members that it observes, for one membership snapshot.
+/// Observers of this node and the members observed by it, computed from `members`.
 struct Observation {
     members: Rc<Vec<Member>>,
     own_observers: Vec<Member>,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the time at which this node's share lease expires.
+    /// Returns the monotonic time at which this node's share lease expires.
     ///
     /// The node may spend its limit shares until then.
     #[must_use]
@@ -116,7 +116,7 @@
         HeartbeatReply { from: own.id.clone(), config_version, promise_ms: millis(lease) }
     }
 
-    /// Returns the time at which this node last granted `member` a lease on its limit shares.
+    /// Returns the monotonic time at which this node last granted `member` a lease on its shares.
     #[must_use]
     pub fn lease_granted_at(&self, member: &str) -> Option<Duration> {
         self.lease_granted_at.borrow().get(member).copied()
@@ -179,7 +179,7 @@
         self.detector.borrow_mut().set_observed(&observation.observed, self.clock.monotonic());
     }
 
-    /// Returns the observers and observed members, cached per membership snapshot.
+    /// Returns the observation for `members`, reusing the cached one if `members` is unchanged.
     fn observation(&self, own: &Member, members: &Rc<Vec<Member>>) -> Rc<Observation> {
         let mut known = self.observation.borrow_mut();
         match &*known {
@@ -210,6 +210,7 @@
         let requests = others.map(|other| self.peers.suspects(&other.peer_address, &target.id));
         let agreeing =
             join_all(requests).await.into_iter().filter(|reply| matches!(reply, Ok(true)));
+        // This node suspects the target too.
         1 + agreeing.count() >= quorum
     }
 }
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -90,7 +90,8 @@
     })
 }
 
-/// Returns the rendezvous weight of `node` for `shard`; the node with the highest weight owns it.
+/// Returns the rendezvous weight of `node` for `shard`; the node with the highest weight is the
+/// preferred owner.
 #[must_use]
 pub fn rendezvous_weight(node: &str, shard: ShardId) -> u64 {
     let mut input = Vec::with_capacity(node.len() + 2);
--- a/crates/coordination/src/journal.rs
+++ b/crates/coordination/src/journal.rs
@@ -20,7 +20,7 @@
 };
 use crate::record::{Entry, Record};
 
-/// Number of a commit within its incarnation, from 1.
+/// Number of a commit within its incarnation, counted from 1 without gaps.
 pub type CommitNumber = u64;
 
 /// Records committed together, stored as one journal row.
@@ -65,13 +65,13 @@
 /// Counters of the journal.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct JournalStats {
-    /// Commits that took effect.
+    /// Successful commits, including flushes without records.
     pub commits: u64,
     /// Records in those commits.
     pub records: u64,
-    /// Retries after the platform failed or its answer was lost.
+    /// Retries of platform requests that failed or whose response was lost.
     pub retries: u64,
-    /// Time spent in commits that took effect.
+    /// Time spent in those commits.
     pub commit_time: Duration,
 }
 
@@ -171,7 +171,9 @@
         self.stalled.get()
     }
 
-    /// Queues records and requests a commit; they are committed together and in order.
+    /// Queues records and requests a commit.
+    ///
+    /// The records of one append are committed together, and appends are committed in order.
     pub fn append(&self, entries: Vec<Entry>) -> CommitTicket {
         let (done, ticket) = oneshot::channel();
         if self.incarnation.is_fenced() {
@@ -192,8 +194,9 @@
         }
     }
 
-    /// Sets the minimum time between the starts of two commits; a longer time in the settings
-    /// takes precedence.
+    /// Sets the commit interval that keeps the region within its write rate.
+    ///
+    /// The longer of it and [`JournalSettings::commit_interval`] applies.
     pub fn set_region_commit_interval(&self, region_commit_interval: Duration) {
         self.region_commit_interval.set(region_commit_interval);
     }
@@ -312,9 +315,10 @@
         Ok(commit)
     }
 
-    /// Resolves a conflict; returns whether an earlier attempt of the commit took effect.
+    /// Finds the cause of a conflict; returns whether an earlier attempt of the commit took effect.
     ///
-    /// Otherwise the node's own row has a new version, or the node was fenced.
+    /// If only the version of the node's own row has changed, adopts that version. Otherwise marks
+    /// the node as fenced and returns an error.
     async fn resolve_conflict(
         &self,
         key: &str,
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,11 +1,12 @@
 //! Coordination library for schedulers of agent programs.
 //!
-//! The crate lets many equal, diskless nodes act as one scheduler: it provides ownership of
-//! programs with fencing through the platform's table, a journal with group commit, and ordered,
-//! idempotent calls. It opens no sockets: the table, the object store and the clock are traits.
+//! The crate lets many equal, diskless nodes act as one scheduler: it provides fenced ownership of
+//! programs, recorded in the platform's tables, a journal with group commit, and ordered,
+//! idempotent calls. It opens no sockets: the platform, the messages between nodes and the clock
+//! are traits.
 //!
-//! A scheduler that only needs validated objects and placement on backend servers can embed two
-//! types:
+//! A scheduler that only needs validated objects and the selection of backend servers can use the
+//! [`config`] module and [`Dispatcher`]:
 //!
 //! ```
 //! use dandelionfront_coordination::config::ObjectFiles;
@@ -23,14 +24,15 @@
 //!     serves = ["geo-llm"]
 //!     "#,
 //! );
-//! let config = ConfigSnapshot::new(1, files.finish().expect("no faults"));
+//! let config = ConfigSnapshot::new(1, files.finish().expect("no problems"));
 //! let dispatcher = Dispatcher::default();
 //! let placement = dispatcher.place(&config, "geo-llm", &[]).expect("a backend server");
 //! assert_eq!(placement.address, "10.0.0.7:8000");
 //! ```
 //!
-//! [`Node`] combines all components; it needs a [`TableService`], an [`ObjectStore`], a [`Clock`]
-//! and [`Peers`], and runs on any single-threaded executor.
+//! [`Node`] combines membership, failure detection, shards, journal, programs and team limits. It
+//! needs a [`TableService`], an [`ObjectStore`], a [`Clock`] and [`Peers`], and runs on any
+//! single-threaded executor.
 
 pub mod call;
 pub mod clock;
--- a/crates/coordination/src/members.rs
+++ b/crates/coordination/src/members.rs
@@ -8,18 +8,19 @@
 /// Key of the only row in the head table.
 pub const HEAD_KEY: &str = "fleet";
 
-/// Value of the head row.
+/// Value of the head row: the newest versions of configuration and membership, which the nodes
+/// poll, and the state of the fencing rate limit.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// Version of the newest published configuration; 0 before the first publication.
     pub config_version: ConfigVersion,
     /// Digest of that configuration.
     pub config_digest: String,
-    /// Id of its publication, for resolving a lost response.
+    /// Id of the publication of that configuration.
     pub publish_id: String,
     /// Incremented with each change of the member rows.
     pub members_version: u64,
-    /// Start of the current window of the fencing rate limit, since the Unix epoch.
+    /// Unix time at which the current window of the fencing rate limit began, in milliseconds.
     #[serde(default)]
     pub fence_window_unix_ms: u64,
     /// Number of members fenced in that window.
@@ -54,8 +55,8 @@
     pub region: RegionId,
     /// State.
     pub state: MemberState,
-    /// Member that reclaims this member's limit shares after it is fenced; no other member may do
-    /// so while the reclaimer itself is neither fenced nor removed.
+    /// Member that reclaims this member's limit shares after this member is fenced. Another member
+    /// may do so only after the reclaimer is fenced or removed too.
     #[serde(default)]
     pub reclaimer: Option<IncarnationId>,
 }
@@ -76,16 +77,18 @@
 pub struct ShardRow {
     /// Owning incarnation, or `None` after a release.
     pub owner: Option<IncarnationId>,
-    /// Incremented with each change of owner; also the fencing number for model engines.
+    /// Incremented with each claim; also the fencing number sent to backend servers.
     pub epoch: u64,
-    /// Key of the object with the shard's state before the segments.
+    /// Key of the object with the shard's state before the segments, or `None` if the shard had no
+    /// programs then.
     pub checkpoint: Option<String>,
     /// Journal segments to replay after loading the checkpoint, in order.
     pub segments: Vec<Segment>,
 }
 
 impl ShardRow {
-    /// Returns whether nothing was committed since the checkpoint, given the next commit number.
+    /// Returns whether the checkpoint covers all commits before `next`, the number of the next
+    /// commit.
     #[must_use]
     pub fn is_checkpointed_at(&self, next: CommitNumber) -> bool {
         matches!(&self.segments[..], [segment] if segment.first_commit == next)
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -19,7 +19,8 @@
 
 /// Window of the fencing rate limit.
 const FENCE_WINDOW: Duration = Duration::from_secs(10);
-/// At most one in this many unfenced members, rounded up, may be fenced within one window.
+/// The number of members fenced in one window is at most the number of unfenced members divided by
+/// this, rounded up.
 const FENCE_DIVISOR: usize = 4;
 
 /// A node's view of the fleet's members, as recorded in the table.
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Returns this node's own entry as last written to the table.
+    /// Returns this node's own member row as last read or written, or as it is being written.
     #[must_use]
     pub fn own_member(&self) -> Member {
         self.own_member.borrow().clone()
@@ -101,8 +102,8 @@
 
     /// Reads the head row and, if the members changed, their rows; returns whether they changed.
     ///
-    /// If the call succeeds and the node's incarnation is not marked as fenced afterwards, the node
-    /// was not fenced when the call started.
+    /// If the call succeeds without marking the incarnation as fenced, the node was not fenced when
+    /// the call started. The lease on limit shares relies on this.
     ///
     /// # Errors
     ///
@@ -127,7 +128,7 @@
     /// Marks `target` as fenced, so that it cannot commit anything more.
     ///
     /// Returns whether the member is now fenced or already removed. Fencing is rate limited, so
-    /// that a network partition cannot get most of the fleet fenced.
+    /// that a network partition cannot cause most of the fleet to be fenced.
     ///
     /// # Errors
     ///
@@ -232,6 +233,7 @@
         Ok(())
     }
 
+    /// Adopts this node's own row, or marks the node as fenced if the row is fenced or absent.
     fn update_own_member(&self, members: &[Member], row_versions: &HashMap<IncarnationId, u64>) {
         let own_id = self.incarnation.id();
         let own = members.iter().find(|member| member.id == own_id);
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -38,15 +38,15 @@
     pub shard_count: u16,
     /// Time between two checkpoints of the shards that the node serves.
     pub checkpoint_interval: Duration,
-    /// Time for which ended programs stay readable.
+    /// Minimum time for which ended programs stay readable.
     pub retention: Duration,
-    /// Journal settings.
+    /// Settings of the journal.
     pub journal: JournalSettings,
     /// Settings of the owner of programs.
     pub owner: OwnerSettings,
-    /// Failure detection.
+    /// Settings of failure detection.
     pub detector: DetectorSettings,
-    /// Team limits.
+    /// Settings of the team limits.
     pub limits: LimitSettings,
 }
 
@@ -77,7 +77,7 @@
     Unknown,
 }
 
-/// Access to the configuration, for the versions exchanged in heartbeats.
+/// Provides the configuration in force and receives reports of newer versions.
 pub trait ConfigWatcher {
     /// Returns the configuration in force.
     fn current(&self) -> Arc<ConfigSnapshot>;
@@ -198,7 +198,8 @@
         &self.limits
     }
 
-    /// Returns whether the node's shards are reconciled and the limits of `version` are prepared.
+    /// Returns whether each shard of the region has its preferred owner and [`Escrow::prepare`] is
+    /// complete for `version`.
     #[must_use]
     pub fn is_settled(&self, version: ConfigVersion) -> bool {
         self.shards_reconciled.get() && self.prepared_version.get() == version
@@ -223,9 +224,9 @@
 
     /// Returns where calls for programs of this region and shard are served.
     ///
-    /// A node does not track the owners of shards in other regions. For those, and for shards of
-    /// its own region without a recorded owner, it returns the preferred owner, which knows the
-    /// actual owner while the shard is moving.
+    /// A node does not track the owners of shards in other regions. For those it returns the
+    /// preferred owner, which knows the actual owner while the shard is moving. The preferred owner
+    /// is also returned for a shard of this region whose last known owner is absent or fenced.
     #[must_use]
     pub fn locate(&self, region_shard: &RegionShard) -> Location {
         let is_own_region = region_shard.region == self.membership.own_member().region;
@@ -260,13 +261,13 @@
         self.journal.fail_pending();
     }
 
-    /// Requests a poll of the head row before the poll interval has passed.
+    /// Requests an immediate poll of the head row and a reconciliation of the shards.
     pub fn request_poll(&self) {
         self.shards_reconciled.set(false);
         self.poll_requested.notify_one();
     }
 
-    /// Starts a planned stop: hands over the limit shares and then the shards.
+    /// Starts a planned stop: hands over the limit shares and marks the shards for release.
     ///
     /// # Errors
     ///
@@ -394,7 +395,7 @@
         }
     }
 
-    /// Deletes the rows of members fenced for longer than `FENCED_ROW_AGE`.
+    /// Deletes the rows of members that this node has known to be fenced for `FENCED_ROW_AGE`.
     ///
     /// Only the live member with the lowest id does so.
     async fn remove_fenced(&self) -> PlatformResult<()> {
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -13,7 +13,8 @@
 impl Owner {
     /// Records the end of an attempt, calls `on_recorded`, and closes the feed.
     ///
-    /// `on_recorded` is not called when there is nothing to record or the commit times out.
+    /// `on_recorded` is called if the commit completes within the time allowed, even if it fails
+    /// because the node was fenced. It is not called if there is nothing to record.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
@@ -35,7 +36,8 @@
         self.clear_running(&ticket.program);
     }
 
-    /// Commits the end of an attempt and closes its feed, at the latest after `end_commit_wait`.
+    /// Commits the end of an attempt. The feed is closed after the commit, or after
+    /// `end_commit_wait` if the commit takes longer.
     async fn record_end(
         &self,
         ticket: &CallTicket,
@@ -90,6 +92,7 @@
         }
     }
 
+    /// Returns the record that ends the program of an answered single call.
     fn closing_record(
         &self,
         request: &CallRequest,
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -94,7 +94,8 @@
 
     /// Ends a program and its sub-agents and waits until this is recorded.
     ///
-    /// Returns the ids of all programs that ended.
+    /// Also cancels their repeatable running calls. Returns the ids of the program and all its
+    /// sub-agents, including those that had already ended.
     ///
     /// # Errors
     ///
@@ -122,18 +123,19 @@
         Ok(subtree)
     }
 
-    /// Returns ended programs for which engines may still hold memory.
+    /// Returns ended programs for which model engines may still hold cached state.
     #[must_use]
     pub fn unreleased(&self) -> Vec<UnreleasedProgram> {
         self.table.unreleased()
     }
 
-    /// Marks that backend servers without a recorded answer may hold memory for a program.
+    /// Notes that a backend server may hold cached state of a program although no answer of that
+    /// backend server is recorded.
     pub fn mark_unrecorded_backends(&self, program: &str) {
         self.table.update(program, |owned| owned.has_unrecorded_backends = true);
     }
 
-    /// Records that engines no longer hold memory for these programs.
+    /// Records that model engines no longer hold cached state for these programs.
     pub fn mark_released(&self, programs: &[ProgramId]) {
         let entries = programs.iter().filter_map(|program| entry(program, Record::Released));
         self.journal.append_lazily(entries.collect());
@@ -145,13 +147,13 @@
         self.table.idle_since(before)
     }
 
-    /// Admits a call: waits for its predecessor, reserves budget, and records the start if needed.
-    ///
-    /// The start is recorded if the call is not repeatable or a budget applies to it.
+    /// Admits a call: waits for its predecessor, reserves its tokens, and records the start unless
+    /// the call is repeatable and no budget applies.
     ///
     /// # Errors
     ///
-    /// Refuses a call that is out of order, over budget or in doubt, or whose program is unknown.
+    /// Refuses a call that is out of order, over budget, in doubt or in conflict with an earlier
+    /// call, whose program is unknown or ended, or whose start cannot be recorded.
     pub async fn admit(&self, request: &CallRequest) -> Result<Admission, Refusal> {
         let digest = request.digest();
         let deadline = self.clock.monotonic() + self.settings.order_wait;
@@ -352,7 +354,8 @@
         }
     }
 
-    /// Checks the budgets of the program and its ancestors; returns whether there is any.
+    /// Checks that `tokens` fit into the budgets of the program and its ancestors; returns whether
+    /// any of them has a budget.
     fn check_budget(&self, id: &str, tokens: u64) -> Result<bool, Refusal> {
         let mut has_budget = false;
         let mut current = Some(id.to_owned());
@@ -378,6 +381,7 @@
         self.journal.append(records.filter_map(|record| entry(program, record)).collect())
     }
 
+    /// Waits until the appended records are committed; refuses if the node was fenced first.
     async fn wait_committed(&self, ticket: CommitTicket) -> Result<(), Refusal> {
         match ticket.await {
             Ok(Ok(())) => Ok(()),
@@ -431,6 +435,7 @@
     Ok(Step::Join(Arc::clone(&running.feed)))
 }
 
+/// Returns the record that ends the attempt in flight at the previous owner, if there was one.
 fn recovery_end_record(program: &Program) -> Option<Record> {
     let call =
         program.calls.values().find(|call| matches!(call.phase, CallPhase::Started { .. }))?;
--- a/crates/coordination/src/owner/table.rs
+++ b/crates/coordination/src/owner/table.rs
@@ -14,7 +14,7 @@
 use crate::record::{CallKey, Record};
 use crate::refusal::{Refusal, RefusalKind};
 
-/// A running call.
+/// Call in flight, and its reservation until the start is recorded.
 #[derive(Debug)]
 pub(super) struct RunningCall {
     /// Identity of the call and the attempt.
@@ -25,7 +25,7 @@
     pub unrecorded_tokens: u64,
 }
 
-/// A program and its volatile state.
+/// A program and the state that is kept only in memory.
 #[derive(Debug)]
 pub(super) struct OwnedProgram {
     /// Recorded state.
@@ -36,7 +36,8 @@
     pub changed: Rc<Notify>,
     /// Monotonic time before which no call may start, because a previous owner may still send one.
     pub blocked_until: Option<Duration>,
-    /// Whether backend servers without a recorded answer may hold memory for the program.
+    /// Whether backend servers other than those with recorded answers may hold cached state for the
+    /// program.
     pub has_unrecorded_backends: bool,
     /// Opening of an implicit program, to be committed with the program's next record.
     pub pending_opening: Option<Record>,
@@ -44,14 +45,14 @@
     pub used_at: Duration,
 }
 
-/// An ended program for which engines may still hold memory.
+/// An ended program for which model engines may still hold cached state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnreleasedProgram {
     /// Id of the program.
     pub program: ProgramId,
     /// Backend servers that answered its calls.
     pub backends: Vec<BackendId>,
-    /// Whether backend servers without a recorded answer may hold memory for it too.
+    /// Whether backend servers other than `backends` may hold cached state for it.
     pub has_unrecorded_backends: bool,
 }
 
@@ -109,12 +110,12 @@
         self.owned_programs.borrow().contains_key(id)
     }
 
-    /// Calls `read` with the slot of a program, if there is one.
+    /// Calls `read` with a program, if the table contains it.
     pub fn with<R>(&self, id: &str, read: impl FnOnce(&OwnedProgram) -> R) -> Option<R> {
         self.owned_programs.borrow().get(id).map(read)
     }
 
-    /// Calls `change` with the slot of a program, if there is one.
+    /// Calls `change` with a program, if the table contains it.
     pub fn update<R>(&self, id: &str, change: impl FnOnce(&mut OwnedProgram) -> R) -> Option<R> {
         self.owned_programs.borrow_mut().get_mut(id).map(change)
     }
@@ -165,7 +166,7 @@
             .sum()
     }
 
-    /// Cancels the running calls that are repeatable; the others run to completion.
+    /// Cancels the repeatable running calls by closing their feeds; the others run to completion.
     pub fn cancel_running(&self, programs: &[ProgramId]) {
         let owned_programs = self.owned_programs.borrow();
         let calls = programs.iter().filter_map(|id| owned_programs.get(id)?.running.as_ref());
--- a/crates/coordination/src/owner/types.rs
+++ b/crates/coordination/src/owner/types.rs
@@ -10,7 +10,7 @@
 use crate::record::{CallKey, StoredAnswer};
 use crate::refusal::Refusal;
 
-/// Timeouts of the owner.
+/// Timeouts of an [`Owner`](super::Owner).
 #[derive(Debug, Clone)]
 pub struct OwnerSettings {
     /// Maximum time that a call waits for its predecessor.
@@ -20,7 +20,7 @@
     /// Maximum time that a caller waits for the commit that records the end of its call.
     pub end_commit_wait: Duration,
     /// Maximum time from the beginning of the start commit to the first byte sent to a backend
-    /// server.
+    /// server; must be longer than `start_commit_wait`.
     pub dispatch_window: Duration,
 }
 
@@ -51,7 +51,8 @@
     pub reserved_tokens: u64,
     /// Incarnation that admitted the call; only this one may record its end.
     pub incarnation: IncarnationId,
-    /// Epoch of the shard, sent as the fencing token to backend servers that check it.
+    /// Epoch of the shard, sent to backend servers as the fencing number; 0 until the caller of
+    /// [`Owner::admit`](super::Owner::admit) sets it.
     pub fencing_number: u64,
 }
 
--- a/crates/coordination/src/payload.rs
+++ b/crates/coordination/src/payload.rs
@@ -1,4 +1,4 @@
-//! Request and answer bodies as stored in the journal.
+//! Request and answer bodies as stored in the journal and sent between nodes.
 
 use std::fmt;
 
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -40,7 +40,8 @@
         /// Time until a token becomes available.
         wait_ms: u64,
     },
-    /// The node holds no usable share of the team's limit.
+    /// The node holds no share of the team's limit that allows a token, or its lease on the share
+    /// has expired.
     NotHolder,
 }
 
@@ -73,7 +74,7 @@
     pub detail: String,
 }
 
-/// Client of the control messages between nodes; addresses are peer addresses of members.
+/// Client for control messages between nodes; addresses are peer addresses of members.
 #[async_trait(?Send)]
 pub trait Peers {
     /// Sends a heartbeat.
@@ -94,8 +95,8 @@
     /// Fails when the peer does not answer in time.
     async fn suspects(&self, address: &str, target: &str) -> Result<bool, PeerError>;
 
-    /// Takes a token of a team from the peer's share; `row_version` is the version of the team's
-    /// limit row known to the caller.
+    /// Takes a rate limit token of a team from the peer's share; `row_version` is the version of
+    /// the team's limit row known to the caller.
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/platform.rs
+++ b/crates/coordination/src/platform.rs
@@ -30,7 +30,7 @@
 pub struct Row {
     /// Key within its table.
     pub key: String,
-    /// Version of the write that produced the row; 0 stands for an absent row.
+    /// Version assigned by the write that produced the row; always greater than 0.
     pub version: u64,
     /// Stored value.
     pub value: Value,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Known outcome of a transaction.
+/// Outcome of a transaction whose response was received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TransactionOutcome {
@@ -100,7 +100,7 @@
     Conflict,
 }
 
-/// Failure of a platform call.
+/// Failure of a platform request.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum PlatformError {
     /// The request did not reach the service.
@@ -127,7 +127,7 @@
     },
 }
 
-/// Result of a platform call.
+/// Result of a platform request.
 pub type PlatformResult<T> = Result<T, PlatformError>;
 
 /// Transactional table service.
@@ -137,14 +137,14 @@
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached or its answer is lost or malformed.
+    /// Fails when the service cannot be reached or its response is lost or malformed.
     async fn get(&self, table: Table, key: &str) -> PlatformResult<Option<Row>>;
 
     /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`.
     ///
     /// # Errors
     ///
-    /// Fails when the service cannot be reached or its answer is lost or malformed.
+    /// Fails when the service cannot be reached or its response is lost or malformed.
     async fn scan(
         &self,
         table: Table,
@@ -162,28 +162,28 @@
     async fn transact(&self, transaction: &Transaction) -> PlatformResult<TransactionOutcome>;
 }
 
-/// Object store for bodies too large for a table row.
+/// Object store for values too large for a table row.
 #[async_trait(?Send)]
 pub trait ObjectStore {
     /// Stores an object; storing the same key again replaces it.
     ///
     /// # Errors
     ///
-    /// Fails when the store cannot be reached or its answer is lost.
+    /// Fails when the store cannot be reached or its response is lost.
     async fn put(&self, key: &str, bytes: Vec<u8>) -> PlatformResult<()>;
 
     /// Reads an object.
     ///
     /// # Errors
     ///
-    /// Fails when the store cannot be reached or its answer is lost.
+    /// Fails when the store cannot be reached or its response is lost.
     async fn get(&self, key: &str) -> PlatformResult<Option<Vec<u8>>>;
 
     /// Deletes an object; deleting an absent one succeeds.
     ///
     /// # Errors
     ///
-    /// Fails when the store cannot be reached or its answer is lost.
+    /// Fails when the store cannot be reached or its response is lost.
     async fn delete(&self, key: &str) -> PlatformResult<()>;
 }
 
@@ -208,7 +208,7 @@
     pub state: VmState,
 }
 
-/// The platform's list of live and leaving VMs, which may be stale.
+/// The platform's list of VMs, which may be stale.
 #[async_trait(?Send)]
 pub trait VmList {
     /// Returns the list as the platform currently reports it.
@@ -228,7 +228,7 @@
     pub objects: Rc<dyn ObjectStore>,
 }
 
-/// Reads every row with `prefix`, page by page.
+/// Reads all rows whose keys start with `prefix` and sort after `after`, page by page.
 ///
 /// # Errors
 ///
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -30,7 +30,7 @@
     },
     /// The outcome is unknown; the call is never executed again.
     InDoubt,
-    /// The last attempt did not produce an answer and another attempt may run.
+    /// The last attempt ended without an answer; the call can be retried.
     Open,
 }
 
@@ -53,7 +53,7 @@
     },
     /// Return the recorded answer.
     Recorded(StoredAnswer),
-    /// Wait until the predecessor or an earlier attempt of the call is settled.
+    /// Wait for the predecessor, or for the attempt of this call that is recorded as started.
     Wait,
     /// Refuse the call.
     Refuse(Refusal),
@@ -78,7 +78,7 @@
     pub closed: Option<(CloseReason, u64)>,
     /// Backend servers that answered calls of the program.
     pub backends: BTreeSet<BackendId>,
-    /// Whether engines no longer hold memory for the program.
+    /// Whether model engines no longer hold cached state for the program.
     pub released: bool,
     /// Unix time of opening, in milliseconds.
     pub opened_unix_ms: u64,
@@ -150,6 +150,7 @@
     /// Returns the lowest sequence that has no settled call.
     #[must_use]
     pub fn next_sequence(&self) -> CallSequence {
+        // Calls settle in order, so their count gives the next sequence.
         let settled = self.calls.values().filter(|call| call.is_settled()).count();
         settled as CallSequence + 1
     }
@@ -172,7 +173,8 @@
         Decision::Run { attempt: 1 }
     }
 
-    /// Returns the remaining tokens of the program's own budget, not counting its sub-agents' calls.
+    /// Returns the program's budget less the tokens charged to the program itself; the tokens of
+    /// its sub-agents are not subtracted.
     #[must_use]
     pub fn remaining_tokens(&self) -> Option<u64> {
         self.budget_tokens.map(|budget| budget.saturating_sub(self.spent_tokens))
@@ -180,6 +182,7 @@
 
     fn decide_known(&self, call: &Call, request: &CallRequest, digest: &str) -> Decision {
         if call.key.idempotency_key != request.idempotency_key {
+            // The known call has no answer, so another request may take its sequence.
             if matches!(call.phase, CallPhase::Open) && self.closed.is_none() {
                 return Decision::Run { attempt: call.key.attempt + 1 };
             }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -106,7 +106,7 @@
         /// Identity of the call and the attempt.
         call: CallKey,
     },
-    /// A repeatable attempt failed after it was sent; its reservation stays charged.
+    /// An attempt of a repeatable call failed after it was sent; its tokens stay charged.
     Failed {
         /// Identity of the call and the attempt.
         call: CallKey,
@@ -120,6 +120,6 @@
         /// Unix time of closing, in milliseconds.
         closed_unix_ms: u64,
     },
-    /// Engines no longer hold memory for the ended program.
+    /// Model engines no longer hold cached state for the ended program.
     Released,
 }
--- a/crates/coordination/src/rows.rs
+++ b/crates/coordination/src/rows.rs
@@ -1,4 +1,6 @@
-//! Interface to a store of versioned rows.
+//! Interface to a store of versioned rows, whose writes are conditional on the version of one row.
+//!
+//! For transactions over several rows, see [`crate::platform`].
 
 use std::rc::Rc;
 
@@ -14,7 +16,7 @@
     pub value: Vec<u8>,
 }
 
-/// A row as returned by a change feed or a range read.
+/// A row, or its removal, as reported by the store's change feed or a range read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowChange {
     /// Partition of the table.
@@ -44,7 +46,7 @@
     pub value: Option<&'a [u8]>,
 }
 
-/// Known outcome of a conditional write.
+/// Outcome of a conditional write whose response was received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The write took effect; holds the row's new version.
@@ -53,7 +55,7 @@
     Conflict(Option<VersionedRow>),
 }
 
-/// Failure of a call to the store.
+/// Failure of a request to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum RowStoreError {
     /// The request was not sent.
@@ -62,19 +64,19 @@
         /// Cause as reported by the transport.
         detail: String,
     },
-    /// The call may or may not have taken effect.
+    /// The response was lost; the request may or may not have taken effect.
     #[snafu(display("the store's answer was lost ({detail}); read the row back"))]
     AnswerLost {
         /// Cause as reported by the transport.
         detail: String,
     },
-    /// The store refused the call, and nothing was done.
+    /// The store rejected the request without executing it.
     #[snafu(display("the store refused the call with status {status}; retry later"))]
     Refused {
         /// HTTP status.
         status: u16,
     },
-    /// The store's answer could not be decoded.
+    /// The store's response could not be decoded.
     #[snafu(display("the store's answer is malformed ({detail}); check its version"))]
     Malformed {
         /// Description of the fault.
@@ -89,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the store cannot be reached or refuses the call.
+    /// Fails when the store cannot be reached or rejects the request.
     async fn get(
         &self,
         table: &str,
@@ -101,7 +103,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the store cannot be reached or refuses the call; after
+    /// Fails when the store cannot be reached or rejects the request; after
     /// [`RowStoreError::AnswerLost`] it is unknown whether the write took effect.
     async fn write(&self, write: RowWrite<'_>) -> Result<WriteOutcome, RowStoreError>;
 }
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -44,6 +44,7 @@
     programs: Vec<Program>,
 }
 
+/// Commits read during one recovery, by incarnation and number of the first commit.
 type CommitCache = HashMap<(IncarnationId, CommitNumber), Vec<(CommitNumber, Commit)>>;
 
 /// The shards of one region: their owners, and the state of those that this node owns.
@@ -113,16 +114,18 @@
         self.owners.borrow().get(&shard).cloned()
     }
 
-    /// Returns the shard's epoch, the fencing token for engines, if this node owns the shard.
+    /// Returns the shard's epoch, sent to backend servers as the fencing number, if this node owns
+    /// the shard.
     #[must_use]
     pub fn epoch(&self, shard: ShardId) -> Option<u64> {
         self.owned.borrow().get(&shard).map(|owned| owned.row.epoch)
     }
 
-    /// Claims and releases shards to match `assignment`; returns whether nothing is left to do.
+    /// Claims and releases shards to match `assignment`; returns whether every shard of the region
+    /// now has its preferred owner.
     ///
-    /// `assignment` returns the preferred owner of a shard, and `is_lost` whether an incarnation
-    /// can no longer commit anything.
+    /// `assignment` returns the preferred owner of a shard. `is_lost` returns whether an
+    /// incarnation was fenced or removed, so that its shards can be claimed.
     ///
     /// # Errors
     ///
@@ -146,6 +149,8 @@
                 self.set_phase(shard, Phase::Draining);
             }
             let is_claimable = row.owner.as_deref().is_none_or(is_lost);
+            // A row that names this node as owner of a shard it does not own results from a claim
+            // whose response was lost.
             if !is_owned && (is_own_row || wanted && is_claimable) {
                 claims.push((shard, version, row));
             } else if row.owner != preferred {
@@ -168,7 +173,7 @@
         }
     }
 
-    /// Releases draining shards without running calls; returns whether no draining shard is left.
+    /// Releases the draining shards that have no call in flight; returns whether all were released.
     ///
     /// # Errors
     ///
@@ -225,8 +230,9 @@
 
     /// Updates an owned shard from its row; returns whether this node owned the shard.
     ///
-    /// Until the owner is fenced, only the owner writes the row. A row that names another owner
-    /// therefore means that this node was fenced.
+    /// Until the owner is fenced, only the owner writes the row. A row that no longer names this
+    /// node is therefore taken to mean that this node was fenced, unless its version is lower than
+    /// the known one, which makes it a stale read.
     fn refresh_owned(
         &self,
         shard: ShardId,
@@ -361,7 +367,8 @@
     }
 
     async fn checkpoint_shard(&self, shard: ShardId) -> PlatformResult<()> {
-        // Commits are applied as they complete, so the programs include all before this number.
+        // Commits are applied as they complete, so the programs read below include all commits
+        // before this number.
         self.journal.flush().await;
         let first_commit = self.journal.next_number();
         let Some(owned) = self.owned.borrow().get(&shard).cloned() else {
@@ -443,7 +450,8 @@
         if self.platform.table.transact(&transaction).await? == TransactionOutcome::Conflict {
             warn!("event=release_conflict shards={}", batch.len());
         }
-        // A conflict also means that this node no longer owns the shards.
+        // Only the owner writes these rows until it is fenced, so a conflict means that this node
+        // no longer owns the shards either.
         for shard in batch {
             self.owned.borrow_mut().remove(shard);
             self.owners.borrow_mut().remove(shard);
