--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -226,7 +226,7 @@
     ///
     /// A node does not track the owners of shards in other regions. For those it returns the
     /// preferred owner, which knows the actual owner while the shard is moving. The preferred owner
-    /// is also returned for a shard of this region whose last known owner is absent or fenced.
+    /// is also returned for a shard of this region whose owner is unknown, fenced or removed.
     #[must_use]
     pub fn locate(&self, region_shard: &RegionShard) -> Location {
         let is_own_region = region_shard.region == self.membership.own_member().region;
@@ -395,7 +395,8 @@
         }
     }
 
-    /// Deletes the rows of members that this node has known to be fenced for `FENCED_ROW_AGE`.
+    /// Deletes the rows of members that this node has known to be fenced for at least
+    /// `FENCED_ROW_AGE`.
     ///
     /// Only the live member with the lowest id does so.
     async fn remove_fenced(&self) -> PlatformResult<()> {
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -13,8 +13,8 @@
 impl Owner {
     /// Records the end of an attempt, calls `on_recorded`, and closes the feed.
     ///
-    /// `on_recorded` is called if the commit completes within the time allowed, even if it fails
-    /// because the node was fenced. It is not called if there is nothing to record.
+    /// `on_recorded` is not called if there is nothing to record or the commit times out. It is
+    /// called, however, if the commit fails because the node was fenced.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -65,7 +65,7 @@
 /// Failure of a message to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display(
-    "the peer at {address} did not answer ({detail}); check the network between them"
+    "the peer at {address} did not answer ({detail}); check the network between the nodes"
 ))]
 pub struct PeerError {
     /// Address of the peer.
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -149,7 +149,7 @@
                 self.set_phase(shard, Phase::Draining);
             }
             let is_claimable = row.owner.as_deref().is_none_or(is_lost);
-            // A row that names this node as owner of a shard it does not own results from a claim
+            // A row that names this node while the shard is not in `owned` results from a claim
             // whose response was lost.
             if !is_owned && (is_own_row || wanted && is_claimable) {
                 claims.push((shard, version, row));
