--- a/crates/coordination/src/config/objects.rs
+++ b/crates/coordination/src/config/objects.rs
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Team {
-    /// Rate limit of the team's requests, enforced over all nodes together.
+    /// Name of the limit on the team's requests.
     pub limit: String,
-    /// Token budget of each of the team's programs; `None` means unlimited.
+    /// Name of the token budget of each of the team's programs; `None` means unlimited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub budget: Option<String>,
     /// Weight of the team relative to others when teams contend for model engines.
@@ -44,7 +44,7 @@
 pub struct Model {
     /// Maximum number of prompt and completion tokens together.
     pub context_tokens: u64,
-    /// Maximum number of completion tokens of calls that do not set one.
+    /// Maximum number of completion tokens for a call that does not set one.
     #[serde(default = "default_completion_tokens")]
     pub default_completion_tokens: u64,
 }
@@ -130,7 +130,7 @@
     pub program_tokens: u64,
 }
 
-/// Rate limit of a team, enforced over all nodes together.
+/// Rate limit, applied separately to each team that names it and enforced across all nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limit {
@@ -173,13 +173,13 @@
     pub value: Option<Value>,
 }
 
-type FlatSet = BTreeMap<String, BTreeMap<String, Value>>;
+type ObjectsByKind = BTreeMap<String, BTreeMap<String, Value>>;
 
 impl ObjectSet {
     /// Returns the number of objects.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.flat().values().map(BTreeMap::len).sum()
+        self.by_kind().values().map(BTreeMap::len).sum()
     }
 
     /// Returns whether the set holds no objects.
@@ -188,7 +188,7 @@
         self.len() == 0
     }
 
-    /// Returns the digest of the set.
+    /// Returns the hexadecimal SHA-256 digest of the JSON form of the set.
     #[must_use]
     pub fn digest(&self) -> String {
         sha256_hex(&serde_json::to_vec(self).unwrap_or_default())
@@ -197,7 +197,7 @@
     /// Returns the changes that turn `self` into `newer`.
     #[must_use]
     pub fn diff(&self, newer: &Self) -> Vec<Change> {
-        let (old, new) = (self.flat(), newer.flat());
+        let (old, new) = (self.by_kind(), newer.by_kind());
         let mut changes = Vec::new();
         for (kind, names) in &new {
             for (name, value) in names {
@@ -222,18 +222,19 @@
     ///
     /// Fails when a change has an unknown kind or holds a malformed object.
     pub fn apply(&self, changes: &[Change]) -> Result<Self, serde_json::Error> {
-        let mut flat = self.flat();
+        let mut by_kind = self.by_kind();
         for change in changes {
-            let names = flat.entry(change.kind.clone()).or_default();
+            let names = by_kind.entry(change.kind.clone()).or_default();
             match &change.value {
                 Some(value) => names.insert(change.name.clone(), value.clone()),
                 None => names.remove(&change.name),
             };
         }
-        serde_json::from_value(serde_json::to_value(flat)?)
+        serde_json::from_value(serde_json::to_value(by_kind)?)
     }
 
-    fn flat(&self) -> FlatSet {
+    /// Returns the objects as JSON, by kind and name.
+    fn by_kind(&self) -> ObjectsByKind {
         let value = serde_json::to_value(self).unwrap_or_default();
         serde_json::from_value(value).unwrap_or_default()
     }
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -13,7 +13,8 @@
 impl Owner {
     /// Records the end of an attempt, calls `on_recorded`, and closes the feed.
     ///
-    /// `on_recorded` is not called when there is nothing to record or the commit times out.
+    /// `on_recorded` is not called if there is nothing to record or the commit times out. It is
+    /// called, however, if the commit fails because the node was fenced.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
@@ -27,7 +28,7 @@
         }
         if let Some(record) = record {
             let mut records = vec![record];
-            records.extend(self.single_call_closed_record(request, &outcome));
+            records.extend(self.closing_record(request, &outcome));
             self.record_end(ticket, records, outcome, on_recorded).await;
         } else {
             ticket.feed.close(outcome);
@@ -35,7 +36,8 @@
         self.clear_running(&ticket.program);
     }
 
-    /// Commits the end of an attempt and closes its feed, at the latest after `end_commit_wait`.
+    /// Commits the end of an attempt. The feed is closed after the commit, or after
+    /// `end_commit_wait` if the commit takes longer.
     async fn record_end(
         &self,
         ticket: &CallTicket,
@@ -43,7 +45,7 @@
         outcome: Result<Answer, Refusal>,
         on_recorded: impl FnOnce(),
     ) {
-        let commit = std::pin::pin!(self.commit(self.append(&ticket.program, records)));
+        let commit = std::pin::pin!(self.wait_committed(self.append(&ticket.program, records)));
         let timeout = self.clock.sleep(self.settings.end_commit_wait);
         match select(commit, timeout).await {
             Either::Left((committed, _)) => {
@@ -65,7 +67,7 @@
         end: AttemptEnd,
     ) -> (Option<Record>, Result<Answer, Refusal>) {
         let call = ticket.key.clone();
-        let is_start_recorded = ticket.dispatch_before.is_some();
+        let is_start_recorded = ticket.dispatch_deadline.is_some();
         match end {
             AttemptEnd::Answered { answer, usage, backend } => {
                 let stored = StoredAnswer {
@@ -90,7 +92,8 @@
         }
     }
 
-    fn single_call_closed_record(
+    /// Returns the record that ends the program of an answered single call.
+    fn closing_record(
         &self,
         request: &CallRequest,
         outcome: &Result<Answer, Refusal>,
