--- a/crates/daemon/benches/capacity/probe.rs
+++ b/crates/daemon/benches/capacity/probe.rs
@@ -122,7 +122,7 @@
 
 async fn sample(fleet: &Fleet, node: &Node) -> Sample {
     let request = fleet.http.request("GET", &node.operator, "/metrics");
-    let text = fleet.http.send(request, "").await.expect("metrics answer").expect(200).body;
+    let text = fleet.http.send(request, "").await.expect("metrics answer").expect_status(200).body;
     let counters = text
         .lines()
         .filter_map(|line| line.rsplit_once(' '))
--- a/crates/daemon/benches/capacity/scenarios.rs
+++ b/crates/daemon/benches/capacity/scenarios.rs
@@ -113,7 +113,7 @@
     let mut point = Point::new(scenario, count);
     let objects = grow(fleet.sample_objects(), count);
     let begun = Instant::now();
-    fleet.publish(objects.clone(), "grown").await.expect(200);
+    fleet.publish(objects.clone(), "grown").await.expect_status(200);
     point.add("publish_s", begun.elapsed().as_secs_f64());
     let accepted = Instant::now();
     fleet.wait_config(2).await;
@@ -122,7 +122,7 @@
     point.add("limits_prepared_s", accepted.elapsed().as_secs_f64());
     let mut changed = objects;
     changed["budget"]["marker"] = json!({ "program_tokens": 1 });
-    fleet.publish(changed, "one-change").await.expect(200);
+    fleet.publish(changed, "one-change").await.expect_status(200);
     let accepted = Instant::now();
     fleet.wait_config(3).await;
     point.add("one_change_spread_s", accepted.elapsed().as_secs_f64());
@@ -158,7 +158,7 @@
                     left.set(left.get() - 1);
                     let request = http.request("POST", &listen, "/v1/programs");
                     let opened = http.send(request.bearer_auth(ALPHA_KEY), "").await;
-                    opened.expect("open answers").expect(201);
+                    opened.expect("open answers").expect_status(201);
                 }
             })
         })
@@ -226,7 +226,7 @@
 async fn changes_points() -> Vec<Point> {
     let fleet = start(3).await;
     let base = with_teams(fleet.sample_objects(), 1_000);
-    fleet.publish(base.clone(), "base").await.expect(200);
+    fleet.publish(base.clone(), "base").await.expect_status(200);
     fleet.wait_settled().await;
     let mut version = 2;
     let mut points = Vec::new();
@@ -269,7 +269,7 @@
         let request =
             http.request("POST", &operator, "/v1/config").content_type("application/json");
         let reply = http.send(request, publication.to_string()).await.expect("publish answers");
-        version = reply.expect(200).json()["version"].as_u64().expect("version");
+        version = reply.expect_status(200).json()["version"].as_u64().expect("version");
         ntex::time::sleep(pause).await;
     }
     version
@@ -285,7 +285,7 @@
         fleet.nodes[11].process.kill();
         fleet.nodes.truncate(11);
         let survivors: Vec<usize> = (0..11).collect();
-        fleet.wait_taken_over(&survivors).await;
+        fleet.wait_for_all_shards(&survivors).await;
         point.add("takeover_s", begun.elapsed().as_secs_f64());
         point.add("takeover_platform_writes", platform_writes(&fleet).await - before);
     }
--- a/crates/daemon/tests/answers.rs
+++ b/crates/daemon/tests/answers.rs
@@ -9,7 +9,11 @@
 use support::http::eventually;
 
 /// Streams one completion; returns its text, and whether it was marked as complete.
-async fn stream(fleet: &Fleet, node: &Node, content: &str) -> Result<(String, bool), String> {
+async fn stream_completion(
+    fleet: &Fleet,
+    node: &Node,
+    content: &str,
+) -> Result<(String, bool), String> {
     let request = fleet.http.request("POST", &node.listen, "/v1/chat/completions");
     let body = json!({
         "model": "geo", "stream": true, "max_tokens": 64,
@@ -28,10 +32,11 @@
 }
 
 /// Returns the undisturbed answers of the engine to each content.
-async fn expected(fleet: &Fleet, contents: &[String]) -> HashMap<String, String> {
+async fn undisturbed_answers(fleet: &Fleet, contents: &[String]) -> HashMap<String, String> {
     let mut answers = HashMap::new();
     for content in contents {
-        let (text, complete) = stream(fleet, &fleet.nodes[0], content).await.expect("answer");
+        let (text, complete) =
+            stream_completion(fleet, &fleet.nodes[0], content).await.expect("answer");
         assert!(complete, "undisturbed answers are complete");
         answers.insert(content.clone(), text);
     }
@@ -39,27 +44,27 @@
 }
 
 /// Options with short silences, so that a silent link is replaced soon.
-fn quick_options(nodes: usize) -> FleetOptions {
+fn short_silence_options(nodes: usize) -> FleetOptions {
     let node_args = ["--engine-silence-ms", "700"].map(str::to_owned).to_vec();
     FleetOptions { nodes, node_args, ..FleetOptions::default() }
 }
 
 /// Puts a proxy between the nodes and the first engine; returns it with its control address.
-async fn proxy_engine(fleet: &Fleet) -> (support::process::ChildProcess, String) {
+async fn proxy_first_engine(fleet: &Fleet) -> (support::process::ChildProcess, String) {
     let (proxy, control) = Fleet::proxy(&fleet.engines[0].1);
     let mut objects = fleet.sample_objects();
     objects["backend"]["engine-0"]["address"] = json!(proxy.1);
-    fleet.publish(objects, "proxied").await.expect(200);
+    fleet.publish(objects, "proxied").await.expect_status(200);
     fleet.wait_config(2).await;
     (proxy.0, control)
 }
 
 #[ntex::test]
-async fn links_to_an_engine_that_cut_delay_or_go_silent_mix_nothing() {
-    let fleet = Fleet::start(quick_options(2)).await;
+async fn engine_connection_faults_never_corrupt_answers() {
+    let fleet = Fleet::start(short_silence_options(2)).await;
     let contents: Vec<String> = (0..4).map(|index| format!("tokens=40 q{index}")).collect();
-    let answers = expected(&fleet, &contents).await;
-    let (_proxy, control) = proxy_engine(&fleet).await;
+    let answers = undisturbed_answers(&fleet, &contents).await;
+    let (_proxy, control) = proxy_first_engine(&fleet).await;
     let faults = [
         json!({ "cut_after_bytes": 3000 }),
         json!({ "delay_ms": 15 }),
@@ -67,11 +72,11 @@
         json!({ "silence_open": true }),
         json!({ "refuse": true }),
     ];
-    let mut complete = 0;
+    let mut complete_count = 0;
     for fault in faults {
         fleet.http.put_json(&control, "/v1/faults", &json!({})).await;
         let calls = contents.iter().zip(fleet.nodes.iter().cycle()).map(|(content, node)| async {
-            (content.clone(), stream(&fleet, node, content).await)
+            (content.clone(), stream_completion(&fleet, node, content).await)
         });
         let inject = async {
             fleet.pause(std::time::Duration::from_millis(80)).await;
@@ -80,23 +85,23 @@
         let (results, ()) =
             futures_util::future::join(futures_util::future::join_all(calls), inject).await;
         for (content, result) in results {
-            let (text, whole) = result.expect("an answer or an error event");
+            let (text, is_complete) = result.expect("an answer or an error event");
             let answer = &answers[&content];
             assert!(answer.starts_with(&text), "{fault}: {text:?} is no part of {answer:?}");
-            assert!(!whole || text == *answer, "{fault}: a short answer was marked complete");
-            complete += usize::from(whole);
+            assert!(!is_complete || text == *answer, "{fault}: a short answer was marked complete");
+            complete_count += usize::from(is_complete);
         }
     }
-    assert!(complete >= 8, "only {complete} of 20 answers were complete");
+    assert!(complete_count >= 8, "only {complete_count} of 20 answers were complete");
 }
 
 #[ntex::test]
-async fn a_silent_connection_is_found_and_replaced() {
-    let fleet = Fleet::start(quick_options(1)).await;
+async fn stream_on_a_silent_connection_is_resumed() {
+    let fleet = Fleet::start(short_silence_options(1)).await;
     let content = "tokens=60 silent".to_owned();
-    let answers = expected(&fleet, std::slice::from_ref(&content)).await;
-    let (_proxy, control) = proxy_engine(&fleet).await;
-    let call = stream(&fleet, &fleet.nodes[0], &content);
+    let answers = undisturbed_answers(&fleet, std::slice::from_ref(&content)).await;
+    let (_proxy, control) = proxy_first_engine(&fleet).await;
+    let call = stream_completion(&fleet, &fleet.nodes[0], &content);
     let inject = async {
         fleet.pause(std::time::Duration::from_millis(100)).await;
         fleet.http.put_json(&control, "/v1/faults", &json!({ "silence_open": true })).await;
@@ -112,7 +117,7 @@
 }
 
 #[ntex::test]
-async fn a_killed_owner_in_the_middle_of_a_stream_mixes_nothing() {
+async fn stream_of_a_killed_owner_matches_the_recorded_answer() {
     let engine_args = ["--token-interval-ms", "20"].map(str::to_owned).to_vec();
     let options = FleetOptions { nodes: 3, engine_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
@@ -139,14 +144,15 @@
         (history.status == 200).then(|| history.json())
     })
     .await;
-    let whole = history["calls"][0]["answer"].as_str().unwrap_or_default().to_owned();
-    let whole: Value = serde_json::from_str(&whole).expect("the successor recorded the answer");
-    let whole = whole["choices"][0]["message"]["content"].as_str().expect("text").to_owned();
+    let recorded = history["calls"][0]["answer"].as_str().unwrap_or_default().to_owned();
+    let recorded: Value =
+        serde_json::from_str(&recorded).expect("the successor recorded the answer");
+    let recorded = recorded["choices"][0]["message"]["content"].as_str().expect("text").to_owned();
     let parts = reply.body.lines().filter_map(|line| line.strip_prefix("data: {"));
     let text: String = parts
         .filter_map(|data| serde_json::from_str::<Value>(&format!("{{{data}")).ok())
         .filter_map(|chunk| Some(chunk["choices"][0]["delta"]["content"].as_str()?.to_owned()))
         .collect();
-    assert_eq!(text, whole);
+    assert_eq!(text, recorded);
     assert!(reply.body.ends_with("data: [DONE]\n\n"), "{}", reply.body);
 }
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -7,10 +7,10 @@
 use support::http::{Reply, eventually};
 
 /// Repeats a call at `node` until its answer is final, as a caller with the same key would.
-async fn settle(fleet: &Fleet, node: usize, call: &ProgramCall<'_>) -> Reply {
+async fn call_until_final(fleet: &Fleet, node: usize, call: &ProgramCall<'_>) -> Reply {
     eventually("the call has a final answer", async || {
         let reply = fleet.service_call(&fleet.nodes[node], ALPHA_KEY, call).await.ok()?;
-        check_refusal(fleet, call, &reply).await;
+        check_not_run(fleet, call, &reply).await;
         let is_final = reply.status == 200 || reply.kind() == "outcome_unknown";
         is_final.then_some(reply)
     })
@@ -18,14 +18,14 @@
 }
 
 /// A refusal as not run must be true when it is given.
-async fn check_refusal(fleet: &Fleet, call: &ProgramCall<'_>, reply: &Reply) {
+async fn check_not_run(fleet: &Fleet, call: &ProgramCall<'_>, reply: &Reply) {
     if reply.status != 200 && reply.run() == "not_run" {
         assert_eq!(fleet.executions(call.idempotency_key).await, 0, "not run: {}", reply.body);
     }
 }
 
 /// Sends a call whose owner fails at `crash_point`; returns its executions and final status.
-async fn run_with_crash(crash_point: &str) -> (usize, u16) {
+async fn call_with_crashing_owner(crash_point: &str) -> (usize, u16) {
     let mut fleet = Fleet::start(FleetOptions::default()).await;
     let owner = fleet.add_crashing_node(crash_point).await;
     let program = fleet.program_owned_by(&fleet.nodes[owner], ALPHA_KEY).await;
@@ -37,20 +37,20 @@
     };
     let first = fleet.service_call(&fleet.nodes[0], ALPHA_KEY, &call).await;
     if let Ok(reply) = &first {
-        check_refusal(&fleet, &call, reply).await;
+        check_not_run(&fleet, &call, reply).await;
     }
-    fleet.wait_taken_over(&[0, 1]).await;
-    let last = settle(&fleet, 1, &call).await;
+    fleet.wait_for_all_shards(&[0, 1]).await;
+    let last = call_until_final(&fleet, 1, &call).await;
     if crash_point.ends_with("stop") {
         fleet.nodes[owner].process.signal("CONT");
         fleet.wait_settled().await;
     }
-    let again = settle(&fleet, 0, &call).await;
+    let again = call_until_final(&fleet, 0, &call).await;
     assert_eq!(again.status, last.status, "a repeat got another outcome: {}", again.body);
 
     // The program goes on in order after the failure.
     let next = ProgramCall { sequence: 2, idempotency_key: "next", ..call };
-    settle(&fleet, 1, &next).await;
+    call_until_final(&fleet, 1, &next).await;
     let record = fleet.service_record().await;
     let keys: Vec<_> = record.iter().map(|call| &call["headers"]["idempotency-key"]).collect();
     assert_eq!(keys.last().expect("the next call ran"), &"next");
@@ -58,42 +58,42 @@
 }
 
 #[ntex::test]
-async fn owner_killed_on_arrival_runs_once() {
-    assert_eq!(run_with_crash("arrived:abort").await, (1, 200));
+async fn call_runs_once_if_owner_is_killed_on_arrival() {
+    assert_eq!(call_with_crashing_owner("arrived:abort").await, (1, 200));
 }
 
 #[ntex::test]
-async fn owner_killed_before_dispatch_never_runs() {
-    assert_eq!(run_with_crash("started:abort").await, (0, 409));
+async fn call_never_runs_if_owner_is_killed_before_dispatch() {
+    assert_eq!(call_with_crashing_owner("started:abort").await, (0, 409));
 }
 
 #[ntex::test]
-async fn owner_killed_after_answer_runs_once_and_is_in_doubt() {
-    assert_eq!(run_with_crash("answered:abort").await, (1, 409));
+async fn call_runs_once_with_unknown_outcome_if_owner_is_killed_after_answer() {
+    assert_eq!(call_with_crashing_owner("answered:abort").await, (1, 409));
 }
 
 #[ntex::test]
-async fn owner_killed_after_record_repeats_the_answer() {
-    assert_eq!(run_with_crash("finished:abort").await, (1, 200));
+async fn recorded_answer_is_repeated_if_owner_is_killed_after_recording() {
+    assert_eq!(call_with_crashing_owner("finished:abort").await, (1, 200));
 }
 
 #[ntex::test]
-async fn owner_frozen_on_arrival_runs_once() {
-    assert_eq!(run_with_crash("arrived:stop").await, (1, 200));
+async fn call_runs_once_if_owner_is_frozen_on_arrival() {
+    assert_eq!(call_with_crashing_owner("arrived:stop").await, (1, 200));
 }
 
 #[ntex::test]
-async fn owner_frozen_before_dispatch_never_runs() {
-    assert_eq!(run_with_crash("started:stop").await, (0, 409));
+async fn call_never_runs_if_owner_is_frozen_before_dispatch() {
+    assert_eq!(call_with_crashing_owner("started:stop").await, (0, 409));
 }
 
 #[ntex::test]
-async fn owner_frozen_after_answer_runs_once_and_is_in_doubt() {
-    assert_eq!(run_with_crash("answered:stop").await, (1, 409));
+async fn call_runs_once_with_unknown_outcome_if_owner_is_frozen_after_answer() {
+    assert_eq!(call_with_crashing_owner("answered:stop").await, (1, 409));
 }
 
 #[ntex::test]
-async fn owner_killed_during_execution_runs_once() {
+async fn call_runs_once_with_unknown_outcome_if_owner_is_killed_during_execution() {
     let service_args = vec!["--delay-ms".to_owned(), "3000".to_owned()];
     let mut fleet =
         Fleet::start(FleetOptions { nodes: 3, service_args, ..FleetOptions::default() }).await;
@@ -109,27 +109,27 @@
     fleet.nodes[2].process.kill();
     let first = first.await.expect("caller task ends").expect("caller gets an answer");
     assert_eq!((first.status, first.run().as_str()), (409, "unknown"), "{}", first.body);
-    let again = settle(&fleet, 1, &call).await;
+    let again = call_until_final(&fleet, 1, &call).await;
     assert_eq!(again.kind(), "outcome_unknown");
     assert_eq!(fleet.executions("k").await, 1);
 }
 
 #[ntex::test]
-async fn lost_commit_answers_run_once() {
+async fn calls_run_once_if_commit_answers_are_lost() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     for sequence in 1..=5 {
         fleet.platform_faults(json!({ "lose_answers": 2 })).await;
         let key = format!("lost-{sequence}");
         let call = ProgramCall { program: &program, sequence, idempotency_key: &key, content: "x" };
-        settle(&fleet, 0, &call).await;
-        settle(&fleet, 1, &call).await;
+        call_until_final(&fleet, 0, &call).await;
+        call_until_final(&fleet, 1, &call).await;
         assert_eq!(fleet.executions(&key).await, 1);
     }
 }
 
 #[ntex::test]
-async fn table_outage_refuses_as_not_run_at_once() {
+async fn calls_are_refused_as_not_run_during_a_table_outage() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     let call = ProgramCall { program: &program, sequence: 1, idempotency_key: "k", content: "x" };
@@ -143,12 +143,12 @@
     }
     assert_eq!(fleet.executions("k").await, 0);
     fleet.platform_faults(json!({})).await;
-    assert_eq!(settle(&fleet, 0, &call).await.status, 200);
+    assert_eq!(call_until_final(&fleet, 0, &call).await.status, 200);
     assert_eq!(fleet.executions("k").await, 1);
 }
 
 #[ntex::test]
-async fn concurrent_repeats_at_all_nodes_run_once() {
+async fn concurrent_repeats_at_all_nodes_run_the_call_once() {
     let fleet = Fleet::start(FleetOptions { nodes: 3, ..FleetOptions::default() }).await;
     let program = fleet.program_owned_by(&fleet.nodes[2], ALPHA_KEY).await;
     let call = ProgramCall { program: &program, sequence: 1, idempotency_key: "k", content: "x" };
@@ -160,7 +160,7 @@
     }
     for repeat in repeats {
         let reply = repeat.await.expect("caller task ends").expect("answer");
-        assert_eq!(reply.expect(200).json()["execution"], 1);
+        assert_eq!(reply.expect_status(200).json()["execution"], 1);
     }
     assert_eq!(fleet.executions("k").await, 1);
 }
--- a/crates/daemon/tests/budget.rs
+++ b/crates/daemon/tests/budget.rs
@@ -7,21 +7,21 @@
 use support::http::{Reply, eventually};
 
 /// Tokens that a call with this content may need: bytes of its message and its completion bound.
-const CONTENT: &str = "tokens=64 again";
+const CALL_CONTENT: &str = "tokens=64 again";
 
-async fn open(fleet: &Fleet, node: usize, body: Value) -> String {
-    let reply = fleet.open_program(&fleet.nodes[node], ALPHA_KEY, &body).await.expect(201);
+async fn open_program(fleet: &Fleet, node: usize, body: Value) -> String {
+    let reply = fleet.open_program(&fleet.nodes[node], ALPHA_KEY, &body).await.expect_status(201);
     reply.json()["id"].as_str().expect("id").to_owned()
 }
 
-async fn call(fleet: &Fleet, node: usize, program: &str, sequence: u64) -> Option<Reply> {
+async fn send_call(fleet: &Fleet, node: usize, program: &str, sequence: u64) -> Option<Reply> {
     let key = format!("{program}-{sequence}");
-    let call = ProgramCall { program, sequence, idempotency_key: &key, content: CONTENT };
+    let call = ProgramCall { program, sequence, idempotency_key: &key, content: CALL_CONTENT };
     fleet.model_call(&fleet.nodes[node], ALPHA_KEY, &call).await.ok()
 }
 
 /// Returns the tokens that the engine spent on the given programs, as it counts them.
-async fn spent_at_engine(fleet: &Fleet, programs: &[&str]) -> u64 {
+async fn tokens_spent_at_engine(fleet: &Fleet, programs: &[&str]) -> u64 {
     let record = fleet.engine_record(0).await;
     let of_programs = record.iter().filter(|request| {
         programs.iter().any(|program| request["headers"]["program-id"] == **program)
@@ -36,12 +36,12 @@
 }
 
 #[ntex::test]
-async fn a_looping_program_is_stopped_by_its_budget() {
+async fn budget_stops_a_looping_program() {
     let fleet = Fleet::start(FleetOptions::default()).await;
-    let program = open(&fleet, 1, json!({ "budget_tokens": 400 })).await;
+    let program = open_program(&fleet, 1, json!({ "budget_tokens": 400 })).await;
     let mut refused = None;
     for sequence in 1..=20 {
-        let reply = call(&fleet, 0, &program, sequence).await.expect("answer");
+        let reply = send_call(&fleet, 0, &program, sequence).await.expect("answer");
         if reply.status != 200 {
             refused = Some(reply);
             break;
@@ -50,37 +50,41 @@
     let refused = refused.expect("the budget stops the loop");
     assert_eq!((refused.kind().as_str(), refused.run().as_str()), ("budget_exhausted", "not_run"));
     assert!(refused.body.contains(&program), "the refusal names the budget: {}", refused.body);
-    let spent = spent_at_engine(&fleet, &[&program]).await;
+    let spent = tokens_spent_at_engine(&fleet, &[&program]).await;
     assert!((1..=400).contains(&spent), "{spent} tokens of 400");
 }
 
 #[ntex::test]
-async fn sub_agents_in_parallel_spend_their_parents_budget() {
+async fn parallel_sub_agents_share_their_parents_budget() {
     let fleet = Fleet::start(FleetOptions::default()).await;
-    let parent = open(&fleet, 1, json!({ "budget_tokens": 500 })).await;
+    let parent = open_program(&fleet, 1, json!({ "budget_tokens": 500 })).await;
     let mut family = vec![parent.clone()];
     for _ in 0..8 {
-        family.push(open(&fleet, 0, json!({ "parent": parent })).await);
+        family.push(open_program(&fleet, 0, json!({ "parent": parent })).await);
     }
-    let calls = family.iter().map(|program| call(&fleet, 0, program, 1));
+    let calls = family.iter().map(|program| send_call(&fleet, 0, program, 1));
     let replies = futures_util::future::join_all(calls).await;
     let refused = replies.iter().flatten().filter(|reply| reply.status == 402).count();
     assert!(refused > 0, "nine calls fit into no budget of 500");
     let programs: Vec<&str> = family.iter().map(String::as_str).collect();
-    let spent = spent_at_engine(&fleet, &programs).await;
+    let spent = tokens_spent_at_engine(&fleet, &programs).await;
     assert!((1..=500).contains(&spent), "{spent} tokens of 500");
 }
 
 #[ntex::test]
-async fn a_takeover_in_the_middle_spends_no_budget_twice() {
+async fn owner_killed_during_a_call_does_not_overspend_the_budget() {
     let engine_args = ["--token-interval-ms", "20"].map(str::to_owned).to_vec();
     let options = FleetOptions { nodes: 3, engine_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
-    let program = open(&fleet, 2, json!({ "budget_tokens": 400 })).await;
-    call(&fleet, 0, &program, 1).await.expect("answer").expect(200);
+    let program = open_program(&fleet, 2, json!({ "budget_tokens": 400 })).await;
+    send_call(&fleet, 0, &program, 1).await.expect("answer").expect_status(200);
     let key = format!("{program}-2");
-    let second =
-        ProgramCall { program: &program, sequence: 2, idempotency_key: &key, content: CONTENT };
+    let second = ProgramCall {
+        program: &program,
+        sequence: 2,
+        idempotency_key: &key,
+        content: CALL_CONTENT,
+    };
     let http = fleet.http.clone();
     let (request, body) = second.model_request(&http, &fleet.nodes[0].listen, ALPHA_KEY);
     let pending = ntex::rt::spawn(async move { http.send(request, body).await });
@@ -89,12 +93,12 @@
     fleet.nodes[2].process.kill();
     let _ = pending.await;
     for sequence in 2..=10 {
-        let reply = call(&fleet, 0, &program, sequence).await.expect("answer");
+        let reply = send_call(&fleet, 0, &program, sequence).await.expect("answer");
         if reply.status == 402 {
             break;
         }
     }
-    let spent = spent_at_engine(&fleet, &[&program]).await;
+    let spent = tokens_spent_at_engine(&fleet, &[&program]).await;
     assert!(spent <= 400, "{spent} tokens of 400");
 }
 
@@ -113,46 +117,51 @@
 }
 
 /// Sends a call with a prompt long enough to be cached.
-async fn cached_call(fleet: &Fleet, node: usize, program: &str) {
+async fn call_with_cached_prompt(fleet: &Fleet, node: usize, program: &str) {
     let content = format!("{program} {}", "word ".repeat(64));
     let call = ProgramCall { program, sequence: 1, idempotency_key: program, content: &content };
-    fleet.model_call(&fleet.nodes[node], ALPHA_KEY, &call).await.expect("answer").expect(200);
+    fleet
+        .model_call(&fleet.nodes[node], ALPHA_KEY, &call)
+        .await
+        .expect("answer")
+        .expect_status(200);
     assert!(holds_memory(fleet, program).await, "the engine keeps the prefix");
 }
 
 #[ntex::test]
 async fn ended_and_cancelled_programs_free_engine_memory() {
     let fleet = Fleet::start(FleetOptions::default()).await;
-    let ended = open(&fleet, 1, json!({})).await;
-    cached_call(&fleet, 0, &ended).await;
+    let ended = open_program(&fleet, 1, json!({})).await;
+    call_with_cached_prompt(&fleet, 0, &ended).await;
     let request =
         fleet.http.request("DELETE", &fleet.nodes[0].listen, &format!("/v1/programs/{ended}"));
-    fleet.http.send(request.bearer_auth(ALPHA_KEY), "").await.expect("answer").expect(200);
+    fleet.http.send(request.bearer_auth(ALPHA_KEY), "").await.expect("answer").expect_status(200);
     wait_released(&fleet, &ended).await;
 
-    let parent = open(&fleet, 1, json!({})).await;
-    let child = open(&fleet, 0, json!({ "parent": parent })).await;
-    cached_call(&fleet, 0, &child).await;
+    let parent = open_program(&fleet, 1, json!({})).await;
+    let child = open_program(&fleet, 0, json!({ "parent": parent })).await;
+    call_with_cached_prompt(&fleet, 0, &child).await;
     let request =
         fleet.http.request("DELETE", &fleet.nodes[0].operator, &format!("/v1/programs/{parent}"));
-    fleet.http.send(request, "").await.expect("answer").expect(200);
+    fleet.http.send(request, "").await.expect("answer").expect_status(200);
     wait_released(&fleet, &child).await;
-    let closed = fleet.history(&fleet.nodes[1], ALPHA_KEY, &child).await.expect(200).json();
+    let closed = fleet.history(&fleet.nodes[1], ALPHA_KEY, &child).await.expect_status(200).json();
     assert_eq!((&closed["state"], &closed["closed"]), (&json!("closed"), &json!("parent_ended")));
 }
 
 #[ntex::test]
-async fn programs_of_a_killed_owner_and_of_vanished_callers_free_engine_memory() {
+async fn abandoned_program_of_a_killed_owner_frees_engine_memory() {
     let node_args = ["--program-idle-s", "4"].map(str::to_owned).to_vec();
     let options = FleetOptions { nodes: 3, node_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
-    let orphan = open(&fleet, 2, json!({})).await;
-    cached_call(&fleet, 0, &orphan).await;
+    let orphan = open_program(&fleet, 2, json!({})).await;
+    call_with_cached_prompt(&fleet, 0, &orphan).await;
     fleet.nodes[2].process.kill();
     fleet.nodes.truncate(2);
-    fleet.wait_taken_over(&[0, 1]).await;
+    fleet.wait_for_all_shards(&[0, 1]).await;
     assert!(holds_memory(&fleet, &orphan).await);
     wait_released(&fleet, &orphan).await;
-    let history = fleet.history(&fleet.nodes[0], ALPHA_KEY, &orphan).await.expect(200).json();
+    let history =
+        fleet.history(&fleet.nodes[0], ALPHA_KEY, &orphan).await.expect_status(200).json();
     assert_eq!(history["closed"], "abandoned");
 }
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -9,10 +9,10 @@
 use support::http::eventually;
 
 /// Longest time from the acceptance of a version to its being in force everywhere.
-const SPREAD_BOUND: Duration = Duration::from_secs(5);
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
 /// Returns the sample objects with a marker that differs between versions.
-fn marked(fleet: &Fleet, marker: u64) -> Value {
+fn objects_with_marker(fleet: &Fleet, marker: u64) -> Value {
     let mut objects = fleet.sample_objects();
     objects["budget"]["marker"] = json!({ "program_tokens": marker });
     objects
@@ -20,11 +20,11 @@
 
 async fn wait_in_force(fleet: &Fleet, version: u64, accepted: Instant) {
     fleet.wait_config(version).await;
-    assert!(accepted.elapsed() < SPREAD_BOUND, "in force after {:?}", accepted.elapsed());
+    assert!(accepted.elapsed() < MAX_PROPAGATION_TIME, "in force after {:?}", accepted.elapsed());
 }
 
 #[ntex::test]
-async fn of_two_racing_operators_one_wins_and_the_other_is_told() {
+async fn one_of_two_concurrent_publications_is_accepted() {
     let fleet = Fleet::start(FleetOptions { nodes: 3, ..FleetOptions::default() }).await;
     for round in 0..3 {
         let base = json!(1 + round);
@@ -32,7 +32,7 @@
             let id = format!("race-{round}-{node}");
             let (fleet, base) = (&fleet, &base);
             async move {
-                let objects = marked(fleet, marker);
+                let objects = objects_with_marker(fleet, marker);
                 fleet.publish_on(&fleet.nodes[node].operator, base, objects, &id).await
             }
         };
@@ -52,15 +52,16 @@
 }
 
 #[ntex::test]
-async fn a_lost_answer_is_resolved_and_a_repeat_publishes_nothing_twice() {
+async fn repeat_after_a_lost_answer_publishes_nothing_new() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     fleet.platform_faults(json!({ "lose_answers": 1 })).await;
     let operator = &fleet.nodes[0].operator;
-    let objects = marked(&fleet, 10);
-    let accepted = fleet.publish_on(operator, &json!(1), objects.clone(), "lost").await.expect(200);
+    let objects = objects_with_marker(&fleet, 10);
+    let accepted =
+        fleet.publish_on(operator, &json!(1), objects.clone(), "lost").await.expect_status(200);
     assert_eq!(accepted.json()["version"], 2);
     let other = &fleet.nodes[1].operator;
-    let repeat = fleet.publish_on(other, &json!(1), objects, "lost").await.expect(200);
+    let repeat = fleet.publish_on(other, &json!(1), objects, "lost").await.expect_status(200);
     assert_eq!(repeat.json()["version"], 2);
     wait_in_force(&fleet, 2, Instant::now()).await;
     let history = fleet.http.get_json(operator, "/v1/config/history").await;
@@ -68,9 +69,10 @@
 }
 
 #[ntex::test]
-async fn an_outage_right_after_the_acceptance_stops_no_version() {
+async fn accepted_version_reaches_all_nodes_during_an_outage() {
     let fleet = Fleet::start(FleetOptions { nodes: 5, ..FleetOptions::default() }).await;
-    let reply = fleet.publish(marked(&fleet, 10), "before-outage").await.expect(200);
+    let reply =
+        fleet.publish(objects_with_marker(&fleet, 10), "before-outage").await.expect_status(200);
     let accepted = Instant::now();
     fleet.platform_faults(json!({ "outage": true })).await;
     assert_eq!(reply.json()["version"], 2);
@@ -78,11 +80,13 @@
 }
 
 #[ntex::test]
-async fn versions_seen_by_a_node_only_rise() {
+async fn adopted_versions_only_increase() {
     let mut fleet = Fleet::start(FleetOptions { nodes: 3, ..FleetOptions::default() }).await;
     for version in 2..=8 {
-        let reply =
-            fleet.publish(marked(&fleet, version), &format!("v-{version}")).await.expect(200);
+        let reply = fleet
+            .publish(objects_with_marker(&fleet, version), &format!("v-{version}"))
+            .await
+            .expect_status(200);
         assert_eq!(reply.json()["version"], version);
         let accepted = Instant::now();
         match version {
@@ -110,24 +114,24 @@
 }
 
 #[ntex::test]
-async fn faulty_objects_are_refused_and_change_nothing() {
+async fn invalid_objects_are_refused_and_change_nothing() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let mut objects = fleet.sample_objects();
     objects["route"]["geo"]["model"] = json!("geo-lmm");
     objects["route"]["a"] = json!({ "model": "geo-llm", "open": true, "fallback": "b" });
     objects["route"]["b"] = json!({ "model": "geo-llm", "open": true, "fallback": "a" });
     objects["limit"]["wide"]["burst"] = json!(0);
-    let reply = fleet.publish(objects, "faulty").await.expect(422);
+    let reply = fleet.publish(objects, "faulty").await.expect_status(422);
     insta::assert_json_snapshot!(reply.json());
     let history = fleet.http.get_json(&fleet.nodes[0].operator, "/v1/config/history").await;
     assert_eq!(history.as_array().expect("list").len(), 1);
 }
 
 #[ntex::test]
-async fn a_drained_backend_server_gets_no_new_work() {
+async fn drained_backend_server_receives_no_new_calls() {
     let fleet = Fleet::start(FleetOptions { engines: 2, ..FleetOptions::default() }).await;
     let drain = fleet.http.request("POST", &fleet.nodes[0].operator, "/v1/backends/engine-0/drain");
-    fleet.http.send(drain, "").await.expect("drain answers").expect(200);
+    fleet.http.send(drain, "").await.expect("drain answers").expect_status(200);
     eventually("the drain is in force", async || {
         fleet.wait_config(2).await;
         Some(())
@@ -137,7 +141,7 @@
 }
 
 #[ntex::test]
-async fn a_leaving_vm_gets_no_new_work() {
+async fn leaving_vm_receives_no_new_calls() {
     let fleet = Fleet::start(FleetOptions { engines: 2, ..FleetOptions::default() }).await;
     let vms = json!([{ "address": fleet.engines[0].1, "state": "leaving" }]);
     fleet.http.put_json(&fleet.platform_address, "/v1/vms", &vms).await;
@@ -153,7 +157,7 @@
         let request = fleet.http.request("POST", &node.listen, "/v1/chat/completions");
         let body = json!({ "model": "geo", "messages": [{ "role": "user", "content": "x" }] });
         let request = request.bearer_auth(support::fleet::ALPHA_KEY);
-        fleet.http.send(request, body.to_string()).await.expect("answer").expect(200);
+        fleet.http.send(request, body.to_string()).await.expect("answer").expect_status(200);
     }
     assert_eq!(fleet.engine_record(0).await.len(), before);
     assert_eq!(fleet.engine_record(1).await.len(), 10);
--- a/crates/daemon/tests/explain.rs
+++ b/crates/daemon/tests/explain.rs
@@ -10,14 +10,14 @@
 use support::site::{Call, SMALL_KEY, Site};
 
 /// Returns the log lines of all nodes that contain every one of `words`.
-fn grep(site: &Site, words: &[&str]) -> Vec<String> {
+fn matching_lines(site: &Site, words: &[&str]) -> Vec<String> {
     let lines = site.nodes.iter().flat_map(|node| node.process.lines());
     lines.filter(|line| words.iter().all(|word| line.contains(word))).collect()
 }
 
 /// Waits for the first such line; lines are written some hundred milliseconds late.
-async fn first_line(site: &Site, words: &[&str]) -> String {
-    eventually("the line is written", async || grep(site, words).into_iter().next()).await
+async fn wait_for_line(site: &Site, words: &[&str]) -> String {
+    eventually("the line is written", async || matching_lines(site, words).into_iter().next()).await
 }
 
 /// Returns the value of `key` in a line of key=value pairs, without quotes.
@@ -33,7 +33,7 @@
 }
 
 #[ntex::test]
-async fn a_turn_refused_during_overload_leads_to_the_teams_limit() {
+async fn overload_refusal_is_traced_to_the_team_limit() {
     let site = Site::start(2).await;
     let mut refused = None;
     for index in 0..8 {
@@ -46,19 +46,19 @@
     }
     let id = refused.expect("no two nodes hold eight requests of a burst of two");
 
-    let line = first_line(&site, &["event=refused", &format!("request={id} ")]).await;
+    let line = wait_for_line(&site, &["event=refused", &format!("request={id} ")]).await;
     assert_eq!(field(&line, "kind"), "rate_limited");
     let message = field(&line, "message");
     assert!(message.contains("share in reach 1.00"), "no node is silent: {message}");
     let team = message.split(' ').nth(1).expect("the message names the team").to_owned();
     // The team sent what its limit holds after a start of all nodes, half of the burst of two, so
     // the refusal was right.
-    let sent = grep(&site, &["event=sent", &format!("team={team} ")]).len();
+    let sent = matching_lines(&site, &["event=sent", &format!("team={team} ")]).len();
     assert!(sent >= 1, "{sent} requests of {team} were sent before");
 }
 
 #[ntex::test]
-async fn a_call_that_ended_in_502_leads_to_the_server_and_the_step() {
+async fn status_502_is_traced_to_the_server_and_step() {
     let site = Site::start(2).await;
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "lose_answers": 1 })).await;
@@ -67,21 +67,24 @@
     let reply = site.send(1, &call).await.expect("an answer");
     assert_eq!(reply.status, 502, "{}", reply.body);
 
-    let refused = first_line(&site, &["event=refused", "request=call-lost "]).await;
+    let refused = wait_for_line(&site, &["event=refused", "request=call-lost "]).await;
     assert_eq!(field(&refused, "kind"), "backend_failed");
-    let sent = grep(&site, &["event=sent", "request=call-lost "]);
+    let sent = matching_lines(&site, &["event=sent", "request=call-lost "]);
     assert_eq!(sent.len(), 1, "its route does not allow a second run: {sent:?}");
-    let failed = first_line(&site, &["event=attempt_failed", "request=call-lost "]).await;
+    let failed = wait_for_line(&site, &["event=attempt_failed", "request=call-lost "]).await;
     assert_eq!(field(&failed, "step"), "answer", "the call may have run");
     let server = field(&sent[0], "server");
     assert_eq!(field(&failed, "server"), server);
-    let ran = site.record(&site.services).await;
+    let ran = site.recorded_requests(&site.services).await;
     assert!(ran.iter().any(|run| Site::header(run, "request-id") == "call-lost"), "{ran:?}");
-    assert!(grep(&site, &["event=server_gone", &server]).is_empty(), "it was not leaving");
+    assert!(
+        matching_lines(&site, &["event=server_gone", &server]).is_empty(),
+        "it was not leaving"
+    );
 }
 
 #[ntex::test]
-async fn a_budget_that_was_not_spent_leads_to_the_node_that_was_killed() {
+async fn early_budget_exhaustion_is_traced_to_the_killed_node() {
     let mut site = Site::start(2).await;
     let turn = async |site: &Site, node: usize, id: &str| {
         let headers = [
@@ -106,10 +109,10 @@
     }
     let id = refused.expect("the budget ends");
 
-    let line = first_line(&site, &["event=refused", &format!("request={id} ")]).await;
+    let line = wait_for_line(&site, &["event=refused", &format!("request={id} ")]).await;
     assert_eq!(field(&line, "kind"), "budget_exhausted");
     let program = field(&line, "program");
-    let spent = first_line(&site, &["event=budget_spent", &format!("program={program} ")]).await;
+    let spent = wait_for_line(&site, &["event=budget_spent", &format!("program={program} ")]).await;
     let settled: u64 = field(&spent, "settled").parse().expect("a number");
     let budget: u64 = field(&spent, "budget").parse().expect("a number");
     assert!(settled < budget, "the row alone does not hold the whole budget: {spent}");
--- a/crates/daemon/tests/front.rs
+++ b/crates/daemon/tests/front.rs
@@ -5,19 +5,21 @@
 use dandelionfront_standins::FaultProxy;
 use serde_json::json;
 use support::http::{Reply, eventually};
-use support::site::{ALPHA_KEY, BETA_KEY, Call, EVENTS, SMALL_KEY, Site, TOKENS_PER_EVENT, config};
+use support::site::{
+    ALPHA_KEY, BETA_KEY, Call, EVENTS_PER_STREAM, SMALL_KEY, Site, TOKENS_PER_EVENT, config,
+};
 
-fn stream_text() -> String {
-    let events = (1..=EVENTS).map(|id| format!("id: {id}\ndata: token-{id}\n\n"));
+fn expected_stream() -> String {
+    let events = (1..=EVENTS_PER_STREAM).map(|id| format!("id: {id}\ndata: token-{id}\n\n"));
     events.collect::<Vec<_>>().concat()
 }
 
-fn output_text() -> String {
-    (1..=EVENTS).map(|id| format!("token-{id}\n")).collect::<Vec<_>>().concat()
+fn expected_output() -> String {
+    (1..=EVENTS_PER_STREAM).map(|id| format!("token-{id}\n")).collect::<Vec<_>>().concat()
 }
 
 /// Sends a turn of a program with a budget.
-async fn turn(
+async fn send_turn(
     site: &Site,
     node: usize,
     id: &str,
@@ -39,7 +41,7 @@
 }
 
 #[ntex::test]
-async fn a_program_over_three_nodes_keeps_its_history_and_budget_when_one_is_killed() {
+async fn program_keeps_history_and_budget_when_a_node_is_killed() {
     let mut site = Site::start(3).await;
     let (mut expected, mut previous) = (String::new(), None::<String>);
     for step in 0..6_usize {
@@ -49,48 +51,49 @@
         // Turns wander: over all three nodes before the kill, over the other two afterwards.
         let node = if step < 3 { step } else { 1 + step % 2 };
         let id = format!("turn-{step}");
-        let reply = turn(&site, node, &id, "/stream/kept/a", previous.as_deref(), "2000").await;
-        assert_eq!((reply.status, reply.body), (200, stream_text()), "turn {step}");
+        let reply =
+            send_turn(&site, node, &id, "/stream/kept/a", previous.as_deref(), "2000").await;
+        assert_eq!((reply.status, reply.body), (200, expected_stream()), "turn {step}");
         expected += "input-";
         expected += &id;
         expected += ";";
-        let ran = site.record(&site.engines).await;
+        let ran = site.recorded_requests(&site.engines).await;
         let ran = ran.iter().find(|request| Site::header(request, "request-id") == id);
         assert_eq!(ran.expect("the turn ran")["body"], expected.as_str(), "turn {step}");
-        expected.push_str(&output_text());
+        expected.push_str(&expected_output());
         previous = Some(id.clone());
         let tool = format!("tool-{step}");
         let call = Call { id: &tool, headers: &[("program-id", "p-1")], ..Call::default() };
         assert_eq!(site.send(node, &call).await.expect("an answer").status, 200);
     }
-    assert_eq!(site.record(&site.engines).await.len(), 6);
-    assert_eq!(site.record(&site.services).await.len(), 6);
+    assert_eq!(site.recorded_requests(&site.engines).await.len(), 6);
+    assert_eq!(site.recorded_requests(&site.services).await.len(), 6);
 }
 
 #[ntex::test]
-async fn a_budget_holds_over_nodes_to_the_last_turn() {
+async fn budget_is_enforced_across_nodes() {
     let site = Site::start(3).await;
     // A turn takes 50 tokens at most and delivers 40: five fit into 210.
-    let mut whole = 0;
+    let mut complete_turns = 0;
     for step in 0..9_usize {
         let id = format!("turn-{step}");
-        let reply = turn(&site, step % 3, &id, "/stream/talk/a", None, "210").await;
+        let reply = send_turn(&site, step % 3, &id, "/stream/talk/a", None, "210").await;
         match reply.status {
-            200 => whole += 1,
+            200 => complete_turns += 1,
             status => {
                 assert_eq!((status, reply.kind().as_str()), (402, "budget_exhausted"));
                 assert_eq!(reply.run(), "not_run");
             }
         }
     }
-    assert_eq!(whole * EVENTS * TOKENS_PER_EVENT, 200);
-    assert_eq!(site.record(&site.engines).await.len(), 5, "refused turns never ran");
+    assert_eq!(complete_turns * EVENTS_PER_STREAM * TOKENS_PER_EVENT, 200);
+    assert_eq!(site.recorded_requests(&site.engines).await.len(), 5, "refused turns never ran");
 }
 
 #[ntex::test]
-async fn turns_of_other_teams_do_not_exist_and_outages_leave_it_open() {
+async fn previous_turn_of_another_team_is_unknown() {
     let site = Site::start(1).await;
-    assert_eq!(turn(&site, 0, "t-1", "/stream/kept/a", None, "1000").await.status, 200);
+    assert_eq!(send_turn(&site, 0, "t-1", "/stream/kept/a", None, "1000").await.status, 200);
     let headers = [("previous-turn", "t-1")];
     let path = "/stream/kept/a";
     let other = Call { id: "t-2", path, key: BETA_KEY, headers: &headers, ..Call::default() };
@@ -104,21 +107,21 @@
 }
 
 #[ntex::test]
-async fn an_unsafe_call_whose_answer_is_lost_runs_once_and_is_not_said_to_be_unrun() {
+async fn unsafe_call_with_a_lost_answer_runs_once_and_has_an_unknown_outcome() {
     let site = Site::start(1).await;
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "lose_answers": 1 })).await;
     }
     let reply = site.send(0, &Call { id: "u-1", ..Call::default() }).await.expect("an answer");
     assert_eq!((reply.status, reply.run().as_str()), (502, "unknown"));
-    assert_eq!(site.record(&site.services).await.len(), 1);
+    assert_eq!(site.recorded_requests(&site.services).await.len(), 1);
     // A safe call goes on at the other server.
     let safe = Call { id: "s-1", method: "GET", path: "/lookup/x", ..Call::default() };
     assert_eq!(site.send(0, &safe).await.expect("an answer").status, 200);
 }
 
 #[ntex::test]
-async fn a_refusal_without_a_run_is_tried_elsewhere_and_then_said_truly() {
+async fn refused_call_is_retried_at_another_server_then_reported_as_not_run() {
     let site = Site::start(1).await;
     site.set_faults(&site.services[0].address, &json!({ "refuse": 1 })).await;
     site.set_faults(&site.services[1].address, &json!({ "refuse": 1 })).await;
@@ -128,11 +131,11 @@
     }
     let reply = site.send(0, &Call { id: "u-2", ..Call::default() }).await.expect("an answer");
     assert_eq!((reply.status, reply.run().as_str()), (503, "not_run"));
-    assert_eq!(site.record(&site.services).await.len(), 1);
+    assert_eq!(site.recorded_requests(&site.services).await.len(), 1);
 }
 
 #[ntex::test]
-async fn an_answer_to_another_request_is_never_passed_on() {
+async fn answer_to_another_request_is_not_forwarded() {
     let site = Site::start(1).await;
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "answer_foreign": 1 })).await;
@@ -142,14 +145,14 @@
 }
 
 #[ntex::test]
-async fn a_cut_stream_goes_on_after_its_last_whole_event() {
+async fn interrupted_stream_resumes_after_its_last_complete_event() {
     let site = Site::start(1).await;
     for engine in &site.engines {
         site.set_faults(&engine.address, &json!({ "cut_streams": 1 })).await;
     }
-    let reply = turn(&site, 0, "t-1", "/stream/talk/a", None, "1000").await;
-    assert_eq!((reply.status, reply.body), (200, stream_text()));
-    let resumed = site.record(&site.engines).await;
+    let reply = send_turn(&site, 0, "t-1", "/stream/talk/a", None, "1000").await;
+    assert_eq!((reply.status, reply.body), (200, expected_stream()));
+    let resumed = site.recorded_requests(&site.engines).await;
     let after: Vec<&str> =
         resumed.iter().map(|request| Site::header(request, "last-event-id")).collect();
     assert!(after.contains(&"1"), "{after:?}");
@@ -164,7 +167,7 @@
 }
 
 #[ntex::test]
-async fn backend_servers_see_the_team_and_neither_the_key_nor_forged_headers() {
+async fn backend_servers_receive_the_team_but_no_key_or_forged_headers() {
     let site = Site::start(1).await;
     let headers = [
         ("tenant", "beta"),
@@ -178,7 +181,7 @@
     ];
     let call = Call { headers: &headers, body: "body", ..Call::default() };
     assert_eq!(site.send(0, &call).await.expect("an answer").status, 200);
-    let record = site.record(&site.services).await;
+    let record = site.recorded_requests(&site.services).await;
     let seen = record[0]["headers"].as_object().expect("headers");
     assert_eq!(seen["tenant"], "alpha");
     assert_eq!(seen["x-own"], "kept");
@@ -190,7 +193,7 @@
 }
 
 #[ntex::test]
-async fn versions_keys_limits_and_drains_take_effect_and_never_revert() {
+async fn published_changes_take_effect_and_never_revert() {
     let site = Site::start(2).await;
     let mut newer = config(5);
     newer["tenants"][1]["apiKeys"] = json!([]);
@@ -221,32 +224,32 @@
     assert!(statuses.ends_with(&[429]), "{statuses:?}");
     // A draining server gets no more requests.
     let draining = &site.services[0];
-    site.list(&draining.id, &draining.address, "desk", "draining").await;
+    site.put_server(&draining.id, &draining.address, "desk", "draining").await;
     let before = eventually("the drain is known", async || {
-        let count = site.record(&site.services[..1]).await.len();
+        let count = site.recorded_requests(&site.services[..1]).await.len();
         for id in 0..8 {
             let id = format!("d-{id}");
             site.send(0, &Call { id: &id, ..Call::default() }).await.expect("an answer");
         }
-        (site.record(&site.services[..1]).await.len() == count).then_some(count)
+        (site.recorded_requests(&site.services[..1]).await.len() == count).then_some(count)
     })
     .await;
-    assert_eq!(site.record(&site.services[..1]).await.len(), before);
+    assert_eq!(site.recorded_requests(&site.services[..1]).await.len(), before);
 }
 
 #[ntex::test]
-async fn a_planned_stop_finishes_streams_and_turns_unready_at_once() {
+async fn graceful_shutdown_finishes_streams_and_reports_not_ready() {
     let mut site = Site::start(1).await;
     let call = Call { id: "t-1", path: "/stream/talk/a", ..Call::default() };
     let (request, http) = (site.request(0, &call), site.http.clone());
     let running = ntex::rt::spawn(async move { http.send(request, "in").await });
     eventually("the stream runs", async || {
-        (!site.record(&site.engines).await.is_empty()).then_some(())
+        (!site.recorded_requests(&site.engines).await.is_empty()).then_some(())
     })
     .await;
     site.nodes[0].process.signal("TERM");
     let reply = running.await.expect("no panic").expect("a whole answer");
-    assert_eq!((reply.status, reply.body), (200, stream_text()));
+    assert_eq!((reply.status, reply.body), (200, expected_stream()));
     eventually("the node is not ready", async || {
         let request = site.http.request("GET", &site.nodes[0].ready, "/v1/ready");
         let reply = site.http.send(request, "").await;
@@ -261,7 +264,7 @@
 }
 
 #[ntex::test]
-async fn bad_input_gets_an_answer_that_names_the_remedy() {
+async fn bad_input_is_refused_with_a_remedy() {
     let site = Site::start(1).await;
     let long = "x".repeat(70_000);
     let wide = "y".repeat(5_000);
@@ -290,7 +293,7 @@
 }
 
 #[ntex::test]
-async fn a_request_whose_runs_are_all_lost_is_given_up_soon() {
+async fn request_whose_answers_are_all_lost_has_bounded_attempts() {
     let site = Site::start(1).await;
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "lose_answers": 1_000 })).await;
@@ -298,12 +301,12 @@
     let call = Call { id: "r-lost", method: "GET", path: "/lookup/x", ..Call::default() };
     let reply = site.send(0, &call).await.expect("an answer");
     assert_eq!(reply.status, 502, "{}", reply.body);
-    let runs = site.record(&site.services).await.len();
+    let runs = site.recorded_requests(&site.services).await.len();
     assert!((2..=4).contains(&runs), "{runs} runs");
 }
 
 #[ntex::test]
-async fn an_over_long_body_is_refused_at_its_head() {
+async fn oversized_body_is_refused_before_it_arrives() {
     use std::io::{Read as _, Write as _};
 
     let site = Site::start(1).await;
@@ -327,7 +330,7 @@
 }
 
 #[ntex::test]
-async fn nodes_that_start_together_know_each_other_once_they_are_ready() {
+async fn nodes_started_together_know_each_other_once_ready() {
     let mut site = Site::start(0).await;
     // All of them read the list before any of them is in it.
     site.set_faults(&site.store, &json!({ "delay_ms": 200 })).await;
@@ -340,11 +343,11 @@
 }
 
 #[ntex::test]
-async fn a_node_that_the_store_turns_away_reaches_it_through_another() {
+async fn node_without_store_access_works_through_a_peer() {
     let mut site = Site::start(1).await;
-    let any = "127.0.0.1:0".parse().expect("valid");
+    let any_port = "127.0.0.1:0".parse().expect("valid");
     let target = site.store.parse().expect("an address");
-    let (proxy, control) = FaultProxy::spawn(any, any, target).expect("starts");
+    let (proxy, control) = FaultProxy::spawn(any_port, any_port, target).expect("starts");
     site.add_nodes_with_store(1, &proxy.to_string());
     site.wait_ready().await;
     let refuse = json!({ "refuse": true, "close_open": true });
@@ -356,9 +359,9 @@
     })
     .await;
     // Budgets, kept turns and keys still work there, and it follows new versions.
-    let first = turn(&site, 1, "t-1", "/stream/kept/a", None, "1000").await;
-    assert_eq!((first.status, first.body), (200, stream_text()));
-    let second = turn(&site, 0, "t-2", "/stream/kept/a", Some("t-1"), "1000").await;
+    let first = send_turn(&site, 1, "t-1", "/stream/kept/a", None, "1000").await;
+    assert_eq!((first.status, first.body), (200, expected_stream()));
+    let second = send_turn(&site, 0, "t-2", "/stream/kept/a", Some("t-1"), "1000").await;
     assert_eq!(second.status, 200);
     let mut newer = config(9);
     newer["tenants"][1]["apiKeys"] = json!([]);
@@ -372,7 +375,7 @@
 }
 
 #[ntex::test]
-async fn a_caller_that_leaves_ends_its_run() {
+async fn disconnected_caller_ends_its_stream_at_the_engine() {
     let site = Site::start(1).await;
     // The engines take a second for each event, so that the stream outlasts its caller.
     let slow = site.start_slow_engine().await;
@@ -380,13 +383,13 @@
     let (request, http) = (site.request(0, &call), site.http.clone());
     let running = ntex::rt::spawn(async move { http.send(request, "in").await });
     eventually("the stream runs", async || {
-        (!site.record(std::slice::from_ref(&slow)).await.is_empty()).then_some(())
+        (!site.recorded_requests(std::slice::from_ref(&slow)).await.is_empty()).then_some(())
     })
     .await;
     running.cancel();
     eventually("the node notices", async || {
         let metrics = site.http.request("GET", &site.nodes[0].metrics, "/metrics");
-        let metrics = site.http.send(metrics, "").await.expect("an answer").expect(200).body;
+        let metrics = site.http.send(metrics, "").await.expect("an answer").expect_status(200).body;
         metrics.contains("dandelionfront_callers_gone_total 1").then_some(())
     })
     .await;
--- a/crates/daemon/tests/history.rs
+++ b/crates/daemon/tests/history.rs
@@ -20,7 +20,8 @@
 
 /// Checks that the history through `node` holds exactly `answers`, in order.
 async fn check_history(fleet: &Fleet, node: usize, program: &str, answers: &[String]) {
-    let history = fleet.history(&fleet.nodes[node], ALPHA_KEY, program).await.expect(200).json();
+    let history =
+        fleet.history(&fleet.nodes[node], ALPHA_KEY, program).await.expect_status(200).json();
     let calls = history["calls"].as_array().expect("calls");
     assert_eq!(calls.len(), answers.len(), "turns in {history}");
     for (index, (call, answer)) in calls.iter().zip(answers).enumerate() {
@@ -33,7 +34,7 @@
 }
 
 #[ntex::test]
-async fn acknowledged_turns_survive_the_kill_of_each_owner() {
+async fn acknowledged_calls_survive_killed_owners() {
     let node_args = ["--checkpoint-interval-ms", "100"].map(str::to_owned).to_vec();
     let options = FleetOptions { nodes: 4, node_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
@@ -75,7 +76,7 @@
         };
         answers.push(call_until_answered(&fleet, 2, &call(1, &keys[0])).await);
         fleet.nodes[2].process.signal("STOP");
-        fleet.wait_taken_over(&[0, 1]).await;
+        fleet.wait_for_all_shards(&[0, 1]).await;
         answers.push(call_until_answered(&fleet, 0, &call(2, &keys[1])).await);
         fleet.nodes[2].process.signal("CONT");
         fleet.wait_settled().await;
@@ -85,7 +86,7 @@
 }
 
 #[ntex::test]
-async fn history_survives_outage_and_lost_answers() {
+async fn history_survives_outages_and_lost_answers() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     let mut answers = Vec::new();
@@ -106,7 +107,7 @@
 }
 
 #[ntex::test]
-async fn crossed_and_doubled_calls_run_once_and_in_order() {
+async fn reordered_and_duplicate_calls_run_once_and_in_order() {
     let fleet = Fleet::start(FleetOptions { nodes: 3, ..FleetOptions::default() }).await;
     let program = fleet.program_owned_by(&fleet.nodes[2], ALPHA_KEY).await;
     let mut pending = Vec::new();
@@ -121,7 +122,7 @@
         }
     }
     for call in pending {
-        call.await.expect("task ends").expect("answer").expect(200);
+        call.await.expect("task ends").expect("answer").expect_status(200);
     }
     let executed = fleet.engine_record(0).await;
     let order: Vec<_> = executed
@@ -132,7 +133,7 @@
 }
 
 #[ntex::test]
-async fn an_answer_that_cannot_be_recorded_is_refused_in_time_and_kept() {
+async fn unrecorded_answer_is_withheld_until_it_is_recorded() {
     let node_args = ["--end-commit-wait-ms", "300"].map(str::to_owned).to_vec();
     let fleet = Fleet::start(FleetOptions { node_args, ..FleetOptions::default() }).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
--- a/crates/daemon/tests/keys.rs
+++ b/crates/daemon/tests/keys.rs
@@ -10,10 +10,10 @@
 use support::http::eventually;
 
 /// Longest time from the acceptance of a withdrawal to the last byte.
-const WITHDRAWAL_BOUND: Duration = Duration::from_secs(5);
+const MAX_WITHDRAWAL_TIME: Duration = Duration::from_secs(5);
 
 /// Completion that outlasts the bound.
-const LONG_TOKENS: u32 = 200;
+const LONG_STREAM_TOKENS: u32 = 200;
 
 /// Options with engines whose streams outlast the bound.
 fn slow_engines() -> FleetOptions {
@@ -47,16 +47,21 @@
 async fn withdraw(fleet: &Fleet, node: usize, key_name: &str) -> Instant {
     let path = format!("/v1/keys/{key_name}");
     let request = fleet.http.request("DELETE", &fleet.nodes[node].operator, &path);
-    fleet.http.send(request, "").await.expect("withdrawal answers").expect(200);
+    fleet.http.send(request, "").await.expect("withdrawal answers").expect_status(200);
     Instant::now()
 }
 
 #[ntex::test]
-async fn withdrawn_key_ends_open_streams_and_new_requests() {
+async fn withdrawn_key_ends_open_streams_and_refuses_new_requests() {
     let fleet = Fleet::start(slow_engines()).await;
     let streams: Vec<_> = (0..2)
         .map(|node| {
-            ntex::rt::spawn(read_stream(stream_request(&fleet, node, ALPHA_KEY, LONG_TOKENS)))
+            ntex::rt::spawn(read_stream(stream_request(
+                &fleet,
+                node,
+                ALPHA_KEY,
+                LONG_STREAM_TOKENS,
+            )))
         })
         .collect();
     let other = ntex::rt::spawn(read_stream(stream_request(&fleet, 1, BETA_KEY, 30)));
@@ -65,12 +70,13 @@
     let accepted = withdraw(&fleet, 0, "alpha-1").await;
     for stream in streams {
         let (text, last_byte) = stream.await.expect("task ends");
-        assert!(last_byte.saturating_duration_since(accepted) < WITHDRAWAL_BOUND);
+        assert!(last_byte.saturating_duration_since(accepted) < MAX_WITHDRAWAL_TIME);
         assert!(text.contains("key_withdrawn") && !text.contains("[DONE]"), "{text}");
     }
     for node in &fleet.nodes {
         let call = ProgramCall { program: "", sequence: 1, idempotency_key: "k", content: "x" };
-        let reply = fleet.model_call(node, ALPHA_KEY, &call).await.expect("answer").expect(401);
+        let reply =
+            fleet.model_call(node, ALPHA_KEY, &call).await.expect("answer").expect_status(401);
         assert_eq!((reply.kind().as_str(), reply.run().as_str()), ("key_withdrawn", "not_run"));
     }
     let (text, _) = other.await.expect("task ends");
@@ -78,54 +84,60 @@
 }
 
 #[ntex::test]
-async fn withdrawal_reaches_a_node_cut_off_from_the_table() {
+async fn withdrawal_reaches_a_node_without_table_access() {
     let mut fleet = Fleet::start(slow_engines()).await;
     let (proxy, control) = Fleet::proxy(&fleet.platform_address);
     let node = fleet.start_node(&proxy.1, &[]);
     fleet.nodes.push(node);
     fleet.wait_settled().await;
-    let stream = ntex::rt::spawn(read_stream(stream_request(&fleet, 2, ALPHA_KEY, LONG_TOKENS)));
+    let stream =
+        ntex::rt::spawn(read_stream(stream_request(&fleet, 2, ALPHA_KEY, LONG_STREAM_TOKENS)));
     eventually("the stream runs", async || (fleet.engine_record(0).await.len() == 1).then_some(()))
         .await;
     let faults = json!({ "silence_all": true });
     fleet.http.put_json(&control, "/v1/faults", &faults).await;
     let accepted = withdraw(&fleet, 0, "alpha-1").await;
     let (text, last_byte) = stream.await.expect("task ends");
-    assert!(last_byte.saturating_duration_since(accepted) < WITHDRAWAL_BOUND);
+    assert!(last_byte.saturating_duration_since(accepted) < MAX_WITHDRAWAL_TIME);
     assert!(text.contains("key_withdrawn"), "{text}");
 }
 
 #[ntex::test]
-async fn withdrawal_spreads_during_a_table_outage() {
+async fn withdrawal_reaches_all_nodes_during_a_table_outage() {
     let fleet = Fleet::start(slow_engines()).await;
-    let stream = ntex::rt::spawn(read_stream(stream_request(&fleet, 1, ALPHA_KEY, LONG_TOKENS)));
+    let stream =
+        ntex::rt::spawn(read_stream(stream_request(&fleet, 1, ALPHA_KEY, LONG_STREAM_TOKENS)));
     eventually("the stream runs", async || (fleet.engine_record(0).await.len() == 1).then_some(()))
         .await;
     let accepted = withdraw(&fleet, 0, "alpha-1").await;
     fleet.platform_faults(json!({ "outage": true })).await;
     let (text, last_byte) = stream.await.expect("task ends");
-    assert!(last_byte.saturating_duration_since(accepted) < WITHDRAWAL_BOUND);
+    assert!(last_byte.saturating_duration_since(accepted) < MAX_WITHDRAWAL_TIME);
     assert!(text.contains("key_withdrawn"), "{text}");
 }
 
 #[ntex::test]
-async fn no_backend_server_and_no_log_shows_a_key() {
+async fn keys_appear_neither_at_backend_servers_nor_in_logs() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     for (sequence, node) in [(1, 0), (2, 1)] {
         let key = format!("m-{sequence}");
         let call = ProgramCall { program: &program, sequence, idempotency_key: &key, content: "x" };
-        fleet.model_call(&fleet.nodes[node], ALPHA_KEY, &call).await.expect("answer").expect(200);
+        fleet
+            .model_call(&fleet.nodes[node], ALPHA_KEY, &call)
+            .await
+            .expect("answer")
+            .expect_status(200);
     }
     let call = ProgramCall { program: &program, sequence: 3, idempotency_key: "s", content: "x" };
-    fleet.service_call(&fleet.nodes[0], ALPHA_KEY, &call).await.expect("answer").expect(200);
+    fleet.service_call(&fleet.nodes[0], ALPHA_KEY, &call).await.expect("answer").expect_status(200);
     let open = fleet.http.request("GET", &fleet.nodes[0].listen, "/v1/services/status/now");
-    fleet.http.send(open.bearer_auth(ALPHA_KEY), "").await.expect("answer").expect(200);
+    fleet.http.send(open.bearer_auth(ALPHA_KEY), "").await.expect("answer").expect_status(200);
     fleet
         .service_call(&fleet.nodes[0], "unknown-key-text", &call)
         .await
         .expect("answer")
-        .expect(401);
+        .expect_status(401);
 
     let mut seen = fleet.engine_record(0).await;
     seen.extend(fleet.service_record().await);
@@ -143,11 +155,11 @@
 }
 
 #[ntex::test]
-async fn requests_run_only_for_their_own_team() {
+async fn keys_give_access_only_to_their_own_team() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let mut objects = fleet.sample_objects();
     objects["route"]["desk"]["teams"] = json!(["alpha"]);
-    fleet.publish(objects, "narrow").await.expect(200);
+    fleet.publish(objects, "narrow").await.expect_status(200);
     fleet.wait_config(2).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     let missing = program.replace(&program[program.len() - 4..], "0000");
@@ -173,7 +185,7 @@
         .service_call(&fleet.nodes[0], BETA_KEY, &call(&program))
         .await
         .expect("answer")
-        .expect(404);
+        .expect_status(404);
 
     let single = fleet.http.request("POST", &fleet.nodes[0].listen, "/v1/services/desk/checkout");
     let single = fleet.http.send(single.bearer_auth(BETA_KEY), "x").await.expect("answer");
@@ -187,8 +199,8 @@
         };
         fleet.http.send(request, "")
     };
-    status(None).await.expect("answer").expect(200);
-    status(Some("no-such-key")).await.expect("answer").expect(401);
+    status(None).await.expect("answer").expect_status(200);
+    status(Some("no-such-key")).await.expect("answer").expect_status(401);
     let executed: Vec<Value> = fleet.service_record().await;
     assert_eq!(executed.len(), 1, "only the open route ran: {executed:?}");
     assert!(fleet.engine_record(0).await.is_empty());
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -9,7 +9,7 @@
 
 /// Answers of one team under load.
 #[derive(Debug, Default)]
-struct Tally {
+struct LoadResult {
     answered: usize,
     refused: usize,
     kinds: std::collections::BTreeMap<String, usize>,
@@ -26,7 +26,7 @@
 async fn limited_fleet(nodes: usize, rate_per_s: f64, burst: u32) -> Fleet {
     let fleet = Fleet::start(FleetOptions { nodes, ..FleetOptions::default() }).await;
     let objects = limited_objects(&fleet, rate_per_s, burst);
-    fleet.publish(objects, "limited").await.expect(200);
+    fleet.publish(objects, "limited").await.expect_status(200);
     fleet.wait_config(2).await;
     fleet.wait_settled().await;
     fleet
@@ -39,7 +39,7 @@
     key: &'static str,
     per_second: u32,
     seconds: u32,
-) -> Tally {
+) -> LoadResult {
     let mut pending = Vec::new();
     let pause = Duration::from_secs(1) / per_second;
     for index in 0..per_second * seconds {
@@ -52,18 +52,18 @@
         pending.push(ntex::rt::spawn(async move { http.send(request, "ping").await }));
         fleet.pause(pause).await;
     }
-    let mut tally = Tally::default();
+    let mut result = LoadResult::default();
     for call in pending {
         match call.await.expect("task ends") {
-            Ok(reply) if reply.status == 200 => tally.answered += 1,
+            Ok(reply) if reply.status == 200 => result.answered += 1,
             Ok(reply) => {
-                tally.refused += 1;
-                *tally.kinds.entry(reply.kind()).or_default() += 1;
+                result.refused += 1;
+                *result.kinds.entry(reply.kind()).or_default() += 1;
             }
-            Err(_) => tally.refused += 1,
+            Err(_) => result.refused += 1,
         }
     }
-    tally
+    result
 }
 
 /// Returns the largest excess of executions over `burst + rate * window`, over all windows.
@@ -92,7 +92,7 @@
 ///
 /// A token is taken at the edge and spent at the service after the start was recorded; a call that
 /// waits shifts its execution, so a window may hold those that waited before it.
-const TRANSIT_S: f64 = 0.5;
+const MAX_TRANSIT_S: f64 = 0.5;
 
 async fn check_bound(fleet: &Fleet, rate_per_s: f64, burst: u32) {
     check_bound_after(fleet, 0, rate_per_s, burst).await;
@@ -101,11 +101,11 @@
 /// Checks the executions after the first `skip`.
 async fn check_bound_after(fleet: &Fleet, skip: usize, rate_per_s: f64, burst: u32) {
     let excess = largest_excess(fleet, skip, rate_per_s, burst).await;
-    assert!(excess <= rate_per_s * TRANSIT_S, "{excess} executions over the bound");
+    assert!(excess <= rate_per_s * MAX_TRANSIT_S, "{excess} executions over the bound");
 }
 
 #[ntex::test]
-async fn five_times_the_rate_over_many_nodes_stays_in_the_bound() {
+async fn limit_holds_at_five_times_the_rate_over_five_nodes() {
     let fleet = limited_fleet(5, 10.0, 20).await;
     let flooded = flood(&fleet, &[0, 1, 2, 3, 4], ALPHA_KEY, 50, 4);
     let quiet = flood(&fleet, &[0, 1, 2, 3, 4], BETA_KEY, 5, 4);
@@ -117,74 +117,74 @@
 }
 
 #[ntex::test]
-async fn four_holders_together_stay_in_the_bound() {
+async fn limit_holds_over_four_holders() {
     let fleet = limited_fleet(5, 10.0, 64).await;
-    assert_eq!(fleet.limit_shares("alpha").await, 4);
-    let tally = flood(&fleet, &[0, 1, 2, 3, 4], ALPHA_KEY, 80, 4).await;
+    assert_eq!(fleet.limit_holder_count("alpha").await, 4);
+    let result = flood(&fleet, &[0, 1, 2, 3, 4], ALPHA_KEY, 80, 4).await;
     check_bound(&fleet, 10.0, 64).await;
-    assert!(tally.answered >= 90, "far below rate and burst: {tally:?}");
+    assert!(result.answered >= 90, "far below rate and burst: {result:?}");
 }
 
 #[ntex::test]
-async fn a_team_inside_its_rate_is_never_refused() {
+async fn team_within_its_rate_is_never_refused() {
     let fleet = limited_fleet(5, 20.0, 20).await;
-    let tally = flood(&fleet, &[0, 1, 2, 3, 4], ALPHA_KEY, 10, 4).await;
-    assert_eq!(tally.refused, 0, "{tally:?}");
+    let result = flood(&fleet, &[0, 1, 2, 3, 4], ALPHA_KEY, 10, 4).await;
+    assert_eq!(result.refused, 0, "{result:?}");
 }
 
 #[ntex::test]
 async fn burst_of_one_is_one() {
     let fleet = limited_fleet(3, 1.0, 1).await;
-    let tally = flood(&fleet, &[0, 1, 2], ALPHA_KEY, 20, 3).await;
+    let result = flood(&fleet, &[0, 1, 2], ALPHA_KEY, 20, 3).await;
     check_bound(&fleet, 1.0, 1).await;
-    assert!((2..=5).contains(&tally.answered), "{tally:?}");
+    assert!((2..=5).contains(&result.answered), "{result:?}");
 }
 
 #[ntex::test]
-async fn a_killed_holder_mints_no_burst() {
+async fn killed_holder_adds_no_burst() {
     let mut fleet = limited_fleet(4, 1.0, 20).await;
     flood(&fleet, &[0], ALPHA_KEY, 40, 2).await;
-    let holder = fleet.limit_holder("alpha").await;
+    let holder = fleet.first_limit_holder("alpha").await;
     fleet.nodes[holder].process.kill();
     let others: Vec<usize> = (0..4).filter(|node| *node != holder).collect();
-    let tally = flood(&fleet, &others, ALPHA_KEY, 10, 14).await;
+    let result = flood(&fleet, &others, ALPHA_KEY, 10, 14).await;
     check_bound(&fleet, 1.0, 20).await;
-    assert!(tally.answered >= 3, "the dead holder's share did not come back: {tally:?}");
+    assert!(result.answered >= 3, "the dead holder's share did not come back: {result:?}");
 }
 
 #[ntex::test]
-async fn a_frozen_holder_that_wakes_spends_nothing() {
+async fn resumed_holder_adds_no_burst() {
     let fleet = limited_fleet(4, 1.0, 20).await;
     flood(&fleet, &[0], ALPHA_KEY, 15, 1).await;
-    let holder = fleet.limit_holder("alpha").await;
+    let holder = fleet.first_limit_holder("alpha").await;
     fleet.nodes[holder].process.signal("STOP");
     let others: Vec<usize> = (0..4).filter(|node| *node != holder).collect();
     flood(&fleet, &others, ALPHA_KEY, 10, 10).await;
     fleet.nodes[holder].process.signal("CONT");
-    let tally = flood(&fleet, &[0, 1, 2, 3], ALPHA_KEY, 40, 3).await;
+    let result = flood(&fleet, &[0, 1, 2, 3], ALPHA_KEY, 40, 3).await;
     check_bound(&fleet, 1.0, 20).await;
-    assert!(tally.answered >= 1, "{tally:?}");
+    assert!(result.answered >= 1, "{result:?}");
 }
 
 #[ntex::test]
-async fn a_table_outage_changes_no_limit() {
+async fn limits_hold_during_and_after_a_table_outage() {
     let fleet = limited_fleet(3, 10.0, 20).await;
     fleet.platform_faults(json!({ "outage": true })).await;
     // Without a table nothing that may not be repeated runs; the tokens are what is checked.
-    let tally = flood(&fleet, &[0, 1, 2], ALPHA_KEY, 10, 5).await;
-    assert!(!tally.kinds.contains_key("limit_unavailable"), "{tally:?}");
-    assert!(!tally.kinds.contains_key("rate_limited"), "{tally:?}");
+    let result = flood(&fleet, &[0, 1, 2], ALPHA_KEY, 10, 5).await;
+    assert!(!result.kinds.contains_key("limit_unavailable"), "{result:?}");
+    assert!(!result.kinds.contains_key("rate_limited"), "{result:?}");
     fleet.platform_faults(json!({})).await;
-    let tally = flood(&fleet, &[0, 1, 2], ALPHA_KEY, 40, 3).await;
+    let result = flood(&fleet, &[0, 1, 2], ALPHA_KEY, 40, 3).await;
     check_bound(&fleet, 10.0, 20).await;
-    assert!(tally.answered >= 20, "{tally:?}");
+    assert!(result.answered >= 20, "{result:?}");
 }
 
 #[ntex::test]
-async fn a_lower_rate_binds_once_it_is_in_force() {
+async fn lowered_limit_applies_once_it_is_in_force() {
     let fleet = limited_fleet(3, 40.0, 40).await;
     flood(&fleet, &[0, 1, 2], ALPHA_KEY, 60, 2).await;
-    fleet.publish(limited_objects(&fleet, 5.0, 5), "lower").await.expect(200);
+    fleet.publish(limited_objects(&fleet, 5.0, 5), "lower").await.expect_status(200);
     fleet.wait_config(3).await;
     let before = fleet.service_record().await.len();
     flood(&fleet, &[0, 1, 2], ALPHA_KEY, 40, 4).await;
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -7,7 +7,7 @@
 use support::fleet::{Fleet, FleetOptions};
 
 /// Returns the answer text of a chat completion.
-fn text(completion: &Value) -> String {
+fn answer_text(completion: &Value) -> String {
     completion["choices"][0]["message"]["content"].as_str().unwrap_or_default().to_owned()
 }
 
@@ -24,19 +24,19 @@
         content,
     };
     let first = fleet.model_call(edge, ALPHA_KEY, &call(1, "a", "which datum")).await;
-    let first = text(&first.expect("first call").expect(200).json());
+    let first = answer_text(&first.expect("first call").expect_status(200).json());
     let second = format!("{first} and the antenna");
     let second = fleet.model_call(edge, ALPHA_KEY, &call(2, "b", &second)).await;
-    second.expect("second call").expect(200);
+    second.expect("second call").expect_status(200);
     let checkout = call(3, "c", "rover 7");
     let third = fleet.service_call(edge, ALPHA_KEY, &checkout).await;
-    let third = third.expect("third call").expect(200).json();
+    let third = third.expect("third call").expect_status(200).json();
     assert_eq!(third["execution"], 1);
 
     // A repeat of the call that may not be repeated gets the recorded answer from either node.
     for node in [edge, owner] {
         let repeat = fleet.service_call(node, ALPHA_KEY, &checkout).await;
-        assert_eq!(repeat.expect("repeat").expect(200).json(), third);
+        assert_eq!(repeat.expect("repeat").expect_status(200).json(), third);
     }
     assert_eq!(fleet.executions("c").await, 1);
 
@@ -45,7 +45,7 @@
     assert_eq!(prompts.len(), 2);
     assert!(prompts[1].contains(&first), "the second call depends on the first answer");
 
-    let history = fleet.history(edge, ALPHA_KEY, &program).await.expect(200).json();
+    let history = fleet.history(edge, ALPHA_KEY, &program).await.expect_status(200).json();
     let states: Vec<_> = history["calls"].as_array().expect("calls").iter().collect();
     let summary: Vec<_> = states
         .iter()
@@ -56,29 +56,30 @@
     for request in executed.iter().chain(&fleet.service_record().await) {
         assert!(!request.to_string().contains(ALPHA_KEY), "a backend server saw the caller's key");
     }
-    fleet.history(edge, BETA_KEY, &program).await.expect(404);
+    fleet.history(edge, BETA_KEY, &program).await.expect_status(404);
 }
 
 #[ntex::test]
-async fn a_program_of_another_region_is_served_there() {
+async fn program_of_another_region_is_served_in_that_region() {
     let mut fleet = Fleet::start(FleetOptions { nodes: 1, ..FleetOptions::default() }).await;
     let far = [("DANDELIONFRONT_REGION", "far"), ("DANDELIONFRONT_ZONE", "far-a")];
     let node = fleet.start_node(&fleet.platform_address, &far);
     fleet.nodes.push(node);
     fleet.wait_config(1).await;
     for index in [0, 1] {
-        fleet.wait_taken_over(&[index]).await;
+        fleet.wait_for_all_shards(&[index]).await;
     }
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     assert!(program.starts_with("prg-far-"), "{program}");
     let call = ProgramCall { program: &program, sequence: 1, idempotency_key: "a", content: "x" };
-    fleet.model_call(&fleet.nodes[0], ALPHA_KEY, &call).await.expect("call").expect(200);
-    let history = fleet.history(&fleet.nodes[0], ALPHA_KEY, &program).await.expect(200).json();
+    fleet.model_call(&fleet.nodes[0], ALPHA_KEY, &call).await.expect("call").expect_status(200);
+    let history =
+        fleet.history(&fleet.nodes[0], ALPHA_KEY, &program).await.expect_status(200).json();
     assert_eq!(history["calls"][0]["state"], "finished");
 }
 
 #[ntex::test]
-async fn the_daemon_opens_no_io_uring() {
+async fn daemon_does_not_use_io_uring() {
     let fleet = Fleet::start(FleetOptions { nodes: 1, ..FleetOptions::default() }).await;
     let folder = format!("/proc/{}/fd", fleet.nodes[0].process.id());
     let links: Vec<String> = std::fs::read_dir(folder)
--- a/crates/daemon/tests/refusals.rs
+++ b/crates/daemon/tests/refusals.rs
@@ -14,7 +14,12 @@
     json!({ "status": reply.status, "error": error })
 }
 
-async fn chat(fleet: &Fleet, key: Option<&str>, headers: &[(&str, &str)], body: &str) -> Reply {
+async fn send_chat(
+    fleet: &Fleet,
+    key: Option<&str>,
+    headers: &[(&str, &str)],
+    body: &str,
+) -> Reply {
     let mut request = fleet.http.request("POST", &fleet.nodes[0].listen, "/v1/chat/completions");
     if let Some(key) = key {
         request = request.bearer_auth(key);
@@ -31,7 +36,7 @@
     let fleet = Fleet::start(FleetOptions { node_args, ..FleetOptions::default() }).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     let first = ProgramCall { program: &program, sequence: 1, idempotency_key: "a", content: "x" };
-    fleet.model_call(&fleet.nodes[0], ALPHA_KEY, &first).await.expect("call").expect(200);
+    fleet.model_call(&fleet.nodes[0], ALPHA_KEY, &first).await.expect("call").expect_status(200);
 
     let body = r#"{"model":"geo","messages":[{"role":"user","content":"hi"}]}"#;
     let key = Some(ALPHA_KEY);
@@ -44,22 +49,22 @@
     };
     let large = body.replace("hi", &"x".repeat(30_000));
     let cases = [
-        ("no key", chat(&fleet, None, &[], body).await),
-        ("unknown key", chat(&fleet, Some("nobody"), &[], body).await),
-        ("unknown route", chat(&fleet, key, &[], &body.replace("geo", "moon")).await),
-        ("service as model", chat(&fleet, key, &[], &body.replace("geo", "desk")).await),
-        ("malformed JSON", chat(&fleet, key, &[], "{").await),
-        ("no messages", chat(&fleet, key, &[], r#"{"model":"geo","messages":[]}"#).await),
-        ("body too large", chat(&fleet, key, &[], &large).await),
-        ("no sequence", chat(&fleet, key, &headers("1", "a")[..1], body).await),
-        ("bad sequence", chat(&fleet, key, &headers("zero", "b"), body).await),
-        ("taken sequence", chat(&fleet, key, &headers("1", "b"), body).await),
-        ("reused key", chat(&fleet, key, &headers("2", "a"), body).await),
-        ("other body", chat(&fleet, key, &headers("1", "a"), body).await),
-        ("other team", chat(&fleet, Some(BETA_KEY), &headers("2", "b"), body).await),
+        ("no key", send_chat(&fleet, None, &[], body).await),
+        ("unknown key", send_chat(&fleet, Some("nobody"), &[], body).await),
+        ("unknown route", send_chat(&fleet, key, &[], &body.replace("geo", "moon")).await),
+        ("service as model", send_chat(&fleet, key, &[], &body.replace("geo", "desk")).await),
+        ("malformed JSON", send_chat(&fleet, key, &[], "{").await),
+        ("no messages", send_chat(&fleet, key, &[], r#"{"model":"geo","messages":[]}"#).await),
+        ("body too large", send_chat(&fleet, key, &[], &large).await),
+        ("no sequence", send_chat(&fleet, key, &headers("1", "a")[..1], body).await),
+        ("bad sequence", send_chat(&fleet, key, &headers("zero", "b"), body).await),
+        ("taken sequence", send_chat(&fleet, key, &headers("1", "b"), body).await),
+        ("reused key", send_chat(&fleet, key, &headers("2", "a"), body).await),
+        ("other body", send_chat(&fleet, key, &headers("1", "a"), body).await),
+        ("other team", send_chat(&fleet, Some(BETA_KEY), &headers("2", "b"), body).await),
         (
             "no program",
-            chat(
+            send_chat(
                 &fleet,
                 key,
                 &[("program-id", "x"), headers("2", "b")[1], headers("2", "b")[2]],
@@ -89,17 +94,17 @@
 }
 
 #[ntex::test]
-async fn garbage_of_an_engine_is_an_honest_error() {
+async fn malformed_engine_answer_is_refused_with_unknown_outcome() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let faults = json!({ "garbage": true });
     fleet.http.put_json(&fleet.engines[0].1, "/standin/faults", &faults).await;
     let body = r#"{"model":"geo","messages":[{"role":"user","content":"hi"}]}"#;
-    let reply = chat(&fleet, Some(ALPHA_KEY), &[], body).await;
+    let reply = send_chat(&fleet, Some(ALPHA_KEY), &[], body).await;
     assert_eq!((reply.status, reply.run().as_str()), (502, "unknown"), "{}", reply.body);
 }
 
 #[ntex::test]
-async fn lost_engine_is_never_called_not_run() {
+async fn call_of_a_killed_engine_is_not_reported_as_not_run() {
     let engine_args = vec!["--token-interval-ms".to_owned(), "200".to_owned()];
     let mut fleet = Fleet::start(FleetOptions { engine_args, ..FleetOptions::default() }).await;
     let request = fleet.http.request("POST", &fleet.nodes[0].listen, "/v1/chat/completions");
@@ -117,7 +122,7 @@
 }
 
 #[ntex::test]
-async fn faulty_settings_are_reported_together() {
+async fn invalid_settings_are_reported_together() {
     let args = ["--workers", "0", "--head-poll-ms", "9", "--zone", "", "--platform", "x"];
     let args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
     let mut process = support::process::ChildProcess::daemon(&args, &[]);
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -40,7 +40,7 @@
 }
 
 #[ntex::test]
-async fn every_node_in_turn_stops_under_load_without_a_failed_call() {
+async fn rolling_shutdown_under_load_fails_no_call() {
     let engine_args = ["--token-interval-ms", "20", "--slots", "64"].map(str::to_owned).to_vec();
     let options = FleetOptions { nodes: 3, engine_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
@@ -89,7 +89,7 @@
 }
 
 #[ntex::test]
-async fn a_stopping_node_reports_not_ready_and_finishes_its_calls() {
+async fn stopping_node_finishes_its_calls() {
     let service_args = ["--delay-ms", "1500"].map(str::to_owned).to_vec();
     let mut fleet = Fleet::start(FleetOptions { service_args, ..FleetOptions::default() }).await;
     let program = fleet.program_owned_by(&fleet.nodes[0], ALPHA_KEY).await;
@@ -100,9 +100,10 @@
     eventually("the call executes", async || (fleet.executions("k").await == 1).then_some(()))
         .await;
     fleet.nodes[0].process.signal("TERM");
-    pending.await.expect("task ends").expect("answer").expect(200);
+    pending.await.expect("task ends").expect("answer").expect_status(200);
     let code = eventually("the node exits", async || fleet.nodes[0].process.try_exit()).await;
     assert_eq!(code, 0);
-    let history = fleet.history(&fleet.nodes[1], ALPHA_KEY, &program).await.expect(200).json();
+    let history =
+        fleet.history(&fleet.nodes[1], ALPHA_KEY, &program).await.expect_status(200).json();
     assert_eq!(history["calls"][0]["state"], json!("finished"));
 }
--- a/crates/daemon/tests/support/fleet.rs
+++ b/crates/daemon/tests/support/fleet.rs
@@ -81,7 +81,7 @@
         for _ in 0..options.nodes {
             fleet.add_node();
         }
-        fleet.publish(fleet.sample_objects(), "first").await.expect(200);
+        fleet.publish(fleet.sample_objects(), "first").await.expect_status(200);
         fleet.wait_settled().await;
         fleet
     }
@@ -229,7 +229,7 @@
     }
 
     /// Waits until the nodes at `indices` serve all shards.
-    pub async fn wait_taken_over(&self, indices: &[usize]) {
+    pub async fn wait_for_all_shards(&self, indices: &[usize]) {
         eventually("the shards are taken over", async || {
             let mut shards = 0;
             for index in indices {
@@ -259,12 +259,12 @@
     }
 
     /// Returns the number of holders of a team's limit.
-    pub async fn limit_shares(&self, team: &str) -> usize {
+    pub async fn limit_holder_count(&self, team: &str) -> usize {
         self.limit_row(team).await["value"]["shares"].as_array().map_or(0, Vec::len)
     }
 
     /// Returns the index of the node that holds the first share of a team's limit.
-    pub async fn limit_holder(&self, team: &str) -> usize {
+    pub async fn first_limit_holder(&self, team: &str) -> usize {
         let row = self.limit_row(team).await;
         let holder = &row["value"]["shares"][0]["holder"];
         for (index, node) in self.nodes.iter().enumerate() {
@@ -290,7 +290,7 @@
 
     /// Opens a program whose owner is `owner`.
     pub async fn program_owned_by(&self, owner: &Node, key: &str) -> String {
-        let reply = self.open_program(owner, key, &json!({})).await.expect(201);
+        let reply = self.open_program(owner, key, &json!({})).await.expect_status(201);
         reply.json()["id"].as_str().expect("id is text").to_owned()
     }
 
--- a/crates/daemon/tests/support/http.rs
+++ b/crates/daemon/tests/support/http.rs
@@ -10,7 +10,7 @@
 /// Connections open at the same time.
 const CONNECTIONS_MAX: usize = 4096;
 /// Longest wait for any answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(60);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A complete answer.
 #[derive(Debug, Clone)]
@@ -39,7 +39,7 @@
     }
 
     /// Panics unless the status is `expected`.
-    pub fn expect(self, expected: u16) -> Self {
+    pub fn expect_status(self, expected: u16) -> Self {
         assert_eq!(self.status, expected, "unexpected answer: {}", self.body);
         self
     }
@@ -85,13 +85,13 @@
             let body = response.body().await.map_err(|error| error.to_string())?;
             Ok(Reply { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
-        timeout(ANSWER_WAIT, exchange).await.unwrap_or_else(|()| Err("timeout".to_owned()))
+        timeout(REQUEST_TIMEOUT, exchange).await.unwrap_or_else(|()| Err("timeout".to_owned()))
     }
 
     /// Reads JSON from `path`.
     pub async fn get_json(&self, address: &str, path: &str) -> Value {
         let request = self.request("GET", address, path);
-        self.send(request, "").await.expect("GET answers").expect(200).json()
+        self.send(request, "").await.expect("GET answers").expect_status(200).json()
     }
 
     /// Writes JSON to `path`.
@@ -104,14 +104,14 @@
 
 /// Waits until `check` yields a value; panics with `what` after the bound.
 pub async fn eventually<T, F: AsyncFnMut() -> Option<T>>(what: &str, mut check: F) -> T {
-    const BOUND: Duration = Duration::from_secs(60);
-    const PAUSE: Duration = Duration::from_millis(20);
-    let begun = std::time::Instant::now();
+    const TIMEOUT: Duration = Duration::from_secs(60);
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    let started = std::time::Instant::now();
     loop {
         if let Some(value) = check().await {
             return value;
         }
-        assert!(begun.elapsed() < BOUND, "gave up waiting until {what}");
-        ntex::time::sleep(PAUSE).await;
+        assert!(started.elapsed() < TIMEOUT, "gave up waiting until {what}");
+        ntex::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/daemon/tests/support/process.rs
+++ b/crates/daemon/tests/support/process.rs
@@ -7,13 +7,13 @@
 use std::time::Duration;
 
 /// Longest wait for a process to announce its address.
-const ANNOUNCE_WAIT: Duration = Duration::from_secs(20);
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A child process, killed when dropped.
 pub struct ChildProcess {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
-    announced: mpsc::Receiver<String>,
+    unread_lines: mpsc::Receiver<String>,
 }
 
 impl ChildProcess {
@@ -39,20 +39,20 @@
             .spawn()
             .unwrap_or_else(|error| panic!("cannot start {}: {error}", program.display()));
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let (sender, announced) = mpsc::channel();
+        let (sender, unread_lines) = mpsc::channel();
         let stdout = child.stdout.take().expect("stdout is piped");
         let stderr = child.stderr.take().expect("stderr is piped");
-        collect(stdout, Arc::clone(&lines), sender.clone());
-        collect(stderr, Arc::clone(&lines), sender);
-        Self { child, lines, announced }
+        collect_lines(stdout, Arc::clone(&lines), sender.clone());
+        collect_lines(stderr, Arc::clone(&lines), sender);
+        Self { child, lines, unread_lines }
     }
 
     /// Waits for the next line that contains `marker` and returns its values by key.
     pub fn wait_for(&self, marker: &str) -> Vec<(String, String)> {
-        let deadline = std::time::Instant::now() + ANNOUNCE_WAIT;
+        let deadline = std::time::Instant::now() + LINE_TIMEOUT;
         loop {
             let left = deadline.saturating_duration_since(std::time::Instant::now());
-            match self.announced.recv_timeout(left) {
+            match self.unread_lines.recv_timeout(left) {
                 Ok(line) if line.contains(marker) => return parse_pairs(&line),
                 Ok(_) => {}
                 Err(error) => panic!(
@@ -101,7 +101,7 @@
     }
 }
 
-fn collect(
+fn collect_lines(
     output: impl Read + Send + 'static,
     lines: Arc<Mutex<Vec<String>>>,
     sender: mpsc::Sender<String>,
--- a/crates/daemon/tests/support/site.rs
+++ b/crates/daemon/tests/support/site.rs
@@ -20,11 +20,11 @@
 /// Host of all routes.
 const HOST: &str = "calls.example";
 /// Longest wait for a node's first line.
-const START_WAIT: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between two looks for it.
-const START_CHECK: Duration = Duration::from_millis(5);
+const START_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Events of a whole stream.
-pub const EVENTS: u64 = 4;
+pub const EVENTS_PER_STREAM: u64 = 4;
 /// Tokens that each event counts.
 pub const TOKENS_PER_EVENT: u64 = 10;
 
@@ -39,8 +39,8 @@
 
 impl SiteNode {
     /// Waits until the node has bound its addresses; returns whether they were free.
-    fn has_started(&self) -> bool {
-        let deadline = Instant::now() + START_WAIT;
+    fn wait_until_bound(&self) -> bool {
+        let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
             let lines = self.process.lines();
             if lines.iter().any(|line| line.contains("event=started")) {
@@ -51,7 +51,7 @@
                 assert!(failure.contains("Address already in use"), "{failure}");
                 return false;
             }
-            std::thread::sleep(START_CHECK);
+            std::thread::sleep(START_POLL_INTERVAL);
         }
         panic!("the node did not start: {:#?}", self.process.lines());
     }
@@ -100,13 +100,13 @@
     listener.local_addr().expect("bound")
 }
 
-fn route(prefix: &str, kind: &str, service: &str, more: &Value) -> Value {
+fn route(prefix: &str, kind: &str, service: &str, overrides: &Value) -> Value {
     let mut route = json!({
         "name": prefix.trim_matches('/'), "hostname": HOST, "pathPrefix": prefix, "kind": kind,
         "timeoutMs": 4000, "targetLatencyMs": 250, "priority": 0, "service": service,
         "maxAttempts": 2, "public": false,
     });
-    for (field, value) in more.as_object().expect("an object") {
+    for (field, value) in overrides.as_object().expect("an object") {
         route[field] = value.clone();
     }
     route
@@ -142,11 +142,11 @@
     /// Starts a store, two engines, two services and `nodes` nodes that are ready.
     pub async fn start(nodes: usize) -> Self {
         let http = Http::new().await;
-        let any = "127.0.0.1:0".parse().expect("valid");
-        let store = SiteStore::spawn(any).expect("starts").to_string();
+        let any_port = "127.0.0.1:0".parse().expect("valid");
+        let store = SiteStore::spawn(any_port).expect("starts").to_string();
         let runner = |id: &str, step_ms| {
-            let settings = RunnerSettings { id: id.to_owned(), events: EVENTS, step_ms };
-            let address = Runner::spawn(any, settings).expect("starts").to_string();
+            let settings = RunnerSettings { id: id.to_owned(), events: EVENTS_PER_STREAM, step_ms };
+            let address = Runner::spawn(any_port, settings).expect("starts").to_string();
             SiteRunner { id: id.to_owned(), address }
         };
         let engines = vec![runner("engine-1", 2), runner("engine-2", 2)];
@@ -154,9 +154,15 @@
         let config = config(3);
         let mut site = Self { http, store, engines, services, nodes: Vec::new(), config };
         for index in 0..2 {
-            site.list(&site.engines[index].id, &site.engines[index].address, "geo", "ready").await;
-            site.list(&site.services[index].id, &site.services[index].address, "desk", "ready")
+            site.put_server(&site.engines[index].id, &site.engines[index].address, "geo", "ready")
                 .await;
+            site.put_server(
+                &site.services[index].id,
+                &site.services[index].address,
+                "desk",
+                "ready",
+            )
+            .await;
         }
         site.publish(site.config.clone()).await;
         site.add_nodes(nodes);
@@ -165,7 +171,7 @@
     }
 
     /// Writes the entry of a backend server.
-    pub async fn list(&self, id: &str, address: &str, service: &str, state: &str) {
+    pub async fn put_server(&self, id: &str, address: &str, service: &str, state: &str) {
         let value = json!({
             "service": service, "address": address, "zone": "zone-a", "version": "v1", "slots": 4,
             "state": state, "coldRemainingMs": 0, "sequence": 1, "born": 1,
@@ -206,7 +212,7 @@
     pub fn add_nodes_with_store(&mut self, count: usize, store: &str) {
         let nodes: Vec<SiteNode> = (0..count).map(|_| Self::start_node(store)).collect();
         for mut node in nodes {
-            while !node.has_started() {
+            while !node.wait_until_bound() {
                 node = Self::start_node(store);
             }
             self.nodes.push(node);
@@ -254,19 +260,19 @@
     /// Returns the metrics of a node.
     pub async fn metrics(&self, node: usize) -> String {
         let request = self.http.request("GET", &self.nodes[node].metrics, "/metrics");
-        self.http.send(request, "").await.expect("an answer").expect(200).body
+        self.http.send(request, "").await.expect("an answer").expect_status(200).body
     }
 
     /// Replaces the engines by one that takes a second for each event.
     pub async fn start_slow_engine(&self) -> SiteRunner {
-        let any = "127.0.0.1:0".parse().expect("valid");
+        let any_port = "127.0.0.1:0".parse().expect("valid");
         let id = "engine-slow".to_owned();
-        let settings = RunnerSettings { id: id.clone(), events: EVENTS, step_ms: 1_000 };
-        let address = Runner::spawn(any, settings).expect("starts").to_string();
+        let settings = RunnerSettings { id: id.clone(), events: EVENTS_PER_STREAM, step_ms: 1_000 };
+        let address = Runner::spawn(any_port, settings).expect("starts").to_string();
         for engine in &self.engines {
             self.put_row("servers", &engine.id, None).await;
         }
-        self.list(&id, &address, "geo", "ready").await;
+        self.put_server(&id, &address, "geo", "ready").await;
         eventually("the node sends to the slow engine", async || {
             self.metrics(0).await.contains("dandelionfront_servers 3\n").then_some(())
         })
@@ -292,7 +298,7 @@
     }
 
     /// Returns what the given backend servers ran, in the order of each.
-    pub async fn record(&self, runners: &[SiteRunner]) -> Vec<Value> {
+    pub async fn recorded_requests(&self, runners: &[SiteRunner]) -> Vec<Value> {
         let mut record = Vec::new();
         for runner in runners {
             let ran = self.http.get_json(&runner.address, "/standin/record").await;
