--- a/crates/daemon/tests/answers.rs
+++ b/crates/daemon/tests/answers.rs
@@ -1,4 +1,4 @@
-//! A caller receives the whole answer to its own request, or an honest error.
+//! A caller receives the complete answer to its own request, or an error.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, Node};
 use support::http::eventually;
 
-/// Streams one completion; returns its text, and whether it was marked as complete.
+/// Requests a streamed completion; returns its text and whether `[DONE]` marked it as complete.
 async fn stream_completion(
     fleet: &Fleet,
     node: &Node,
@@ -31,25 +31,26 @@
     Ok((text, false))
 }
 
-/// Returns the undisturbed answers of the engine to each content.
+/// Returns the answer to each content when no fault is simulated.
 async fn undisturbed_answers(fleet: &Fleet, contents: &[String]) -> HashMap<String, String> {
     let mut answers = HashMap::new();
     for content in contents {
         let (text, complete) =
-            stream_completion(fleet, &fleet.nodes[0], content).await.expect("answer");
-        assert!(complete, "undisturbed answers are complete");
+            stream_completion(fleet, &fleet.nodes[0], content).await.expect("the node answers");
+        assert!(complete, "an answer without faults is incomplete");
         answers.insert(content.clone(), text);
     }
     answers
 }
 
-/// Options with short silences, so that a silent link is replaced soon.
+/// Returns options with which a stream on a silent connection is resumed after 700 ms.
 fn short_silence_options(nodes: usize) -> FleetOptions {
     let node_args = ["--engine-silence-ms", "700"].map(str::to_owned).to_vec();
     FleetOptions { nodes, node_args, ..FleetOptions::default() }
 }
 
-/// Puts a proxy between the nodes and the first engine; returns it with its control address.
+/// Routes the traffic to the first engine through a proxy; returns the proxy and the address that
+/// controls its faults.
 async fn proxy_first_engine(fleet: &Fleet) -> (support::process::ChildProcess, String) {
     let (proxy, control) = Fleet::proxy(&fleet.engines[0].1);
     let mut objects = fleet.sample_objects();
@@ -59,6 +60,8 @@
     (proxy.0, control)
 }
 
+/// Guards against answers that contain text of other calls or end early but are marked as complete,
+/// when connections to an engine are cut, delayed, closed, silenced or refused during a stream.
 #[ntex::test]
 async fn engine_connection_faults_never_corrupt_answers() {
     let fleet = Fleet::start(short_silence_options(2)).await;
@@ -87,7 +90,10 @@
         for (content, result) in results {
             let (text, is_complete) = result.expect("an answer or an error event");
             let answer = &answers[&content];
-            assert!(answer.starts_with(&text), "{fault}: {text:?} is no part of {answer:?}");
+            assert!(
+                answer.starts_with(&text),
+                "{fault}: {text:?} is not the beginning of {answer:?}"
+            );
             assert!(!is_complete || text == *answer, "{fault}: a short answer was marked complete");
             complete_count += usize::from(is_complete);
         }
@@ -95,6 +101,8 @@
     assert!(complete_count >= 8, "only {complete_count} of 20 answers were complete");
 }
 
+/// Guards against streams that wait forever for a connection that stays open but carries no more
+/// data.
 #[ntex::test]
 async fn stream_on_a_silent_connection_is_resumed() {
     let fleet = Fleet::start(short_silence_options(1)).await;
@@ -112,10 +120,12 @@
     let metrics = fleet.http.send(metrics, "").await.expect("metrics").body;
     assert!(
         metrics.contains("retries_total{reason=\"stream_resumed\"} 1"),
-        "not resumed: {metrics}"
+        "the stream was not resumed: {metrics}"
     );
 }
 
+/// Guards against a stream that repeats, skips or mixes text when the owner of its program is
+/// killed and another node resumes it.
 #[ntex::test]
 async fn stream_of_a_killed_owner_matches_the_recorded_answer() {
     let engine_args = ["--token-interval-ms", "20"].map(str::to_owned).to_vec();
@@ -138,7 +148,7 @@
         .await;
     fleet.pause(std::time::Duration::from_millis(300)).await;
     fleet.nodes[2].process.kill();
-    let reply = pending.await.expect("task ends").expect("answer");
+    let reply = pending.await.expect("task ends").expect("the node answers");
     let history = eventually("the call is recorded", async || {
         let history = fleet.history(&fleet.nodes[1], ALPHA_KEY, &program).await;
         (history.status == 200).then(|| history.json())
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A call that may not be repeated runs at most once, and "not run" is true.
+//! A non-repeatable call runs at most once, and a call that is refused as "not run" has not run.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::{Reply, eventually};
 
-/// Repeats a call at `node` until its answer is final, as a caller with the same key would.
+/// Repeats a call at `node` with its idempotency key until the answer is final.
 async fn call_until_final(fleet: &Fleet, node: usize, call: &ProgramCall<'_>) -> Reply {
     eventually("the call has a final answer", async || {
         let reply = fleet.service_call(&fleet.nodes[node], ALPHA_KEY, call).await.ok()?;
@@ -17,14 +17,15 @@
     .await
 }
 
-/// A refusal as not run must be true when it is given.
+/// Checks that a call that was refused as not run has not run.
 async fn check_not_run(fleet: &Fleet, call: &ProgramCall<'_>, reply: &Reply) {
     if reply.status != 200 && reply.run() == "not_run" {
         assert_eq!(fleet.executions(call.idempotency_key).await, 0, "not run: {}", reply.body);
     }
 }
 
-/// Sends a call whose owner fails at `crash_point`; returns its executions and final status.
+/// Sends a call whose owner crashes or freezes at `crash_point`; returns the number of executions
+/// and the final status.
 async fn call_with_crashing_owner(crash_point: &str) -> (usize, u16) {
     let mut fleet = Fleet::start(FleetOptions::default()).await;
     let owner = fleet.add_crashing_node(crash_point).await;
@@ -48,7 +49,7 @@
     let again = call_until_final(&fleet, 0, &call).await;
     assert_eq!(again.status, last.status, "a repeat got another outcome: {}", again.body);
 
-    // The program goes on in order after the failure.
+    // The next call of the program must still run.
     let next = ProgramCall { sequence: 2, idempotency_key: "next", ..call };
     call_until_final(&fleet, 1, &next).await;
     let record = fleet.service_record().await;
@@ -114,6 +115,8 @@
     assert_eq!(fleet.executions("k").await, 1);
 }
 
+/// Guards against calls that are recorded or run twice because the answer to a commit that took
+/// effect is lost and the commit is retried.
 #[ntex::test]
 async fn calls_run_once_if_commit_answers_are_lost() {
     let fleet = Fleet::start(FleetOptions::default()).await;
@@ -135,7 +138,10 @@
     let call = ProgramCall { program: &program, sequence: 1, idempotency_key: "k", content: "x" };
     fleet.platform_faults(json!({ "outage": true })).await;
     for node in [0, 1, 0] {
-        let reply = fleet.service_call(&fleet.nodes[node], ALPHA_KEY, &call).await.expect("answer");
+        let reply = fleet
+            .service_call(&fleet.nodes[node], ALPHA_KEY, &call)
+            .await
+            .expect("the node answers");
         assert_eq!(
             (reply.kind().as_str(), reply.run().as_str()),
             ("platform_unavailable", "not_run")
@@ -159,7 +165,7 @@
         repeats.push(ntex::rt::spawn(async move { http.send(request, "x").await }));
     }
     for repeat in repeats {
-        let reply = repeat.await.expect("caller task ends").expect("answer");
+        let reply = repeat.await.expect("caller task ends").expect("the node answers");
         assert_eq!(reply.expect_status(200).json()["execution"], 1);
     }
     assert_eq!(fleet.executions("k").await, 1);
--- a/crates/daemon/tests/budget.rs
+++ b/crates/daemon/tests/budget.rs
@@ -1,4 +1,4 @@
-//! A program's budget holds, and engines hold no memory for programs that are gone.
+//! Budgets are enforced, and engines keep no memory for programs that have ended.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::{Reply, eventually};
 
-/// Tokens that a call with this content may need: bytes of its message and its completion bound.
+/// Message of the calls; each reserves the bytes of its message and its completion limit as tokens.
 const CALL_CONTENT: &str = "tokens=64 again";
 
 async fn open_program(fleet: &Fleet, node: usize, body: Value) -> String {
@@ -20,7 +20,8 @@
     fleet.model_call(&fleet.nodes[node], ALPHA_KEY, &call).await.ok()
 }
 
-/// Returns the tokens that the engine spent on the given programs, as it counts them.
+/// Returns the tokens of the given programs in the engine's units: words of each prompt and the
+/// completion limit.
 async fn tokens_spent_at_engine(fleet: &Fleet, programs: &[&str]) -> u64 {
     let record = fleet.engine_record(0).await;
     let of_programs = record.iter().filter(|request| {
@@ -41,7 +42,7 @@
     let program = open_program(&fleet, 1, json!({ "budget_tokens": 400 })).await;
     let mut refused = None;
     for sequence in 1..=20 {
-        let reply = send_call(&fleet, 0, &program, sequence).await.expect("answer");
+        let reply = send_call(&fleet, 0, &program, sequence).await.expect("the node answers");
         if reply.status != 200 {
             refused = Some(reply);
             break;
@@ -49,7 +50,11 @@
     }
     let refused = refused.expect("the budget stops the loop");
     assert_eq!((refused.kind().as_str(), refused.run().as_str()), ("budget_exhausted", "not_run"));
-    assert!(refused.body.contains(&program), "the refusal names the budget: {}", refused.body);
+    assert!(
+        refused.body.contains(&program),
+        "the refusal does not name the budget: {}",
+        refused.body
+    );
     let spent = tokens_spent_at_engine(&fleet, &[&program]).await;
     assert!((1..=400).contains(&spent), "{spent} tokens of 400");
 }
@@ -65,19 +70,21 @@
     let calls = family.iter().map(|program| send_call(&fleet, 0, program, 1));
     let replies = futures_util::future::join_all(calls).await;
     let refused = replies.iter().flatten().filter(|reply| reply.status == 402).count();
-    assert!(refused > 0, "nine calls fit into no budget of 500");
+    assert!(refused > 0, "nine calls fit into a budget of 500");
     let programs: Vec<&str> = family.iter().map(String::as_str).collect();
     let spent = tokens_spent_at_engine(&fleet, &programs).await;
     assert!((1..=500).contains(&spent), "{spent} tokens of 500");
 }
 
+/// Guards against a new owner that gives out again the tokens that a call in flight has reserved at
+/// the killed owner.
 #[ntex::test]
 async fn owner_killed_during_a_call_does_not_overspend_the_budget() {
     let engine_args = ["--token-interval-ms", "20"].map(str::to_owned).to_vec();
     let options = FleetOptions { nodes: 3, engine_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
     let program = open_program(&fleet, 2, json!({ "budget_tokens": 400 })).await;
-    send_call(&fleet, 0, &program, 1).await.expect("answer").expect_status(200);
+    send_call(&fleet, 0, &program, 1).await.expect("the node answers").expect_status(200);
     let key = format!("{program}-2");
     let second = ProgramCall {
         program: &program,
@@ -93,7 +100,7 @@
     fleet.nodes[2].process.kill();
     let _ = pending.await;
     for sequence in 2..=10 {
-        let reply = send_call(&fleet, 0, &program, sequence).await.expect("answer");
+        let reply = send_call(&fleet, 0, &program, sequence).await.expect("the node answers");
         if reply.status == 402 {
             break;
         }
@@ -102,9 +109,9 @@
     assert!(spent <= 400, "{spent} tokens of 400");
 }
 
-/// Waits until the engine holds no memory for `program`.
+/// Waits until the engine keeps no memory for `program`.
 async fn wait_released(fleet: &Fleet, program: &str) {
-    eventually("the engine's memory is free", async || {
+    eventually("the engine has freed the memory", async || {
         let memory = fleet.http.get_json(&fleet.engines[0].1, "/standin/memory").await;
         memory.get(program).is_none().then_some(())
     })
@@ -116,16 +123,16 @@
     memory.get(program).is_some()
 }
 
-/// Sends a call with a prompt long enough to be cached.
+/// Sends a call whose prompt is long enough for the engine to cache it.
 async fn call_with_cached_prompt(fleet: &Fleet, node: usize, program: &str) {
     let content = format!("{program} {}", "word ".repeat(64));
     let call = ProgramCall { program, sequence: 1, idempotency_key: program, content: &content };
     fleet
         .model_call(&fleet.nodes[node], ALPHA_KEY, &call)
         .await
-        .expect("answer")
+        .expect("the node answers")
         .expect_status(200);
-    assert!(holds_memory(fleet, program).await, "the engine keeps the prefix");
+    assert!(holds_memory(fleet, program).await, "the engine did not cache the prefix");
 }
 
 #[ntex::test]
@@ -135,7 +142,12 @@
     call_with_cached_prompt(&fleet, 0, &ended).await;
     let request =
         fleet.http.request("DELETE", &fleet.nodes[0].listen, &format!("/v1/programs/{ended}"));
-    fleet.http.send(request.bearer_auth(ALPHA_KEY), "").await.expect("answer").expect_status(200);
+    fleet
+        .http
+        .send(request.bearer_auth(ALPHA_KEY), "")
+        .await
+        .expect("the node answers")
+        .expect_status(200);
     wait_released(&fleet, &ended).await;
 
     let parent = open_program(&fleet, 1, json!({})).await;
@@ -143,12 +155,14 @@
     call_with_cached_prompt(&fleet, 0, &child).await;
     let request =
         fleet.http.request("DELETE", &fleet.nodes[0].operator, &format!("/v1/programs/{parent}"));
-    fleet.http.send(request, "").await.expect("answer").expect_status(200);
+    fleet.http.send(request, "").await.expect("the node answers").expect_status(200);
     wait_released(&fleet, &child).await;
     let closed = fleet.history(&fleet.nodes[1], ALPHA_KEY, &child).await.expect_status(200).json();
     assert_eq!((&closed["state"], &closed["closed"]), (&json!("closed"), &json!("parent_ended")));
 }
 
+/// Guards against memory that stays allocated at an engine because the owner of the program was
+/// killed and its caller sends no further call.
 #[ntex::test]
 async fn abandoned_program_of_a_killed_owner_frees_engine_memory() {
     let node_args = ["--program-idle-s", "4"].map(str::to_owned).to_vec();
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! An accepted configuration takes effect on all nodes within seconds and is never reverted.
 
 mod support;
 
@@ -8,10 +8,10 @@
 use support::fleet::{Fleet, FleetOptions};
 use support::http::eventually;
 
-/// Longest time from the acceptance of a version to its being in force everywhere.
+/// Longest time from the acceptance of a version until it is in force on all nodes.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
-/// Returns the sample objects with a marker that differs between versions.
+/// Returns the sample objects with a budget of `marker` tokens, which makes versions differ.
 fn objects_with_marker(fleet: &Fleet, marker: u64) -> Value {
     let mut objects = fleet.sample_objects();
     objects["budget"]["marker"] = json!({ "program_tokens": marker });
@@ -51,6 +51,8 @@
     }
 }
 
+/// Guards against a publication that fails or takes effect twice because the platform stores it but
+/// the answer to the node is lost, and the operator publishes it again through another node.
 #[ntex::test]
 async fn repeat_after_a_lost_answer_publishes_nothing_new() {
     let fleet = Fleet::start(FleetOptions::default()).await;
@@ -68,6 +70,8 @@
     assert_eq!(history.as_array().expect("list").len(), 2);
 }
 
+/// Guards against an accepted version that does not reach all nodes because the platform fails
+/// right after the acceptance.
 #[ntex::test]
 async fn accepted_version_reaches_all_nodes_during_an_outage() {
     let fleet = Fleet::start(FleetOptions { nodes: 5, ..FleetOptions::default() }).await;
@@ -79,6 +83,8 @@
     wait_in_force(&fleet, 2, accepted).await;
 }
 
+/// Guards against a node that returns to an older version after an outage, a lost answer or the
+/// failure of another node.
 #[ntex::test]
 async fn adopted_versions_only_increase() {
     let mut fleet = Fleet::start(FleetOptions { nodes: 3, ..FleetOptions::default() }).await;
@@ -145,7 +151,7 @@
     let fleet = Fleet::start(FleetOptions { engines: 2, ..FleetOptions::default() }).await;
     let vms = json!([{ "address": fleet.engines[0].1, "state": "leaving" }]);
     fleet.http.put_json(&fleet.platform_address, "/v1/vms", &vms).await;
-    // The target is none after three seconds.
+    // A leaving VM must receive no new calls after three seconds.
     fleet.pause(Duration::from_secs(3)).await;
     check_only_second_engine(&fleet).await;
 }
@@ -157,7 +163,12 @@
         let request = fleet.http.request("POST", &node.listen, "/v1/chat/completions");
         let body = json!({ "model": "geo", "messages": [{ "role": "user", "content": "x" }] });
         let request = request.bearer_auth(support::fleet::ALPHA_KEY);
-        fleet.http.send(request, body.to_string()).await.expect("answer").expect_status(200);
+        fleet
+            .http
+            .send(request, body.to_string())
+            .await
+            .expect("the node answers")
+            .expect_status(200);
     }
     assert_eq!(fleet.engine_record(0).await.len(), before);
     assert_eq!(fleet.engine_record(1).await.len(), 10);
--- a/crates/daemon/tests/explain.rs
+++ b/crates/daemon/tests/explain.rs
@@ -1,7 +1,7 @@
-//! The ways of docs/OPERATIONS.md from a request id to the cause of its failure.
+//! The steps in docs/OPERATIONS.md from the id of a failed request to the cause of the failure.
 //!
-//! Each test makes a request fail and then follows the page: it knows the request's id and the logs
-//! of all nodes, and nothing else.
+//! Each test makes a request fail and then follows that page, using only the request's id and the
+//! logs of all nodes.
 
 mod support;
 
@@ -15,7 +15,8 @@
     lines.filter(|line| words.iter().all(|word| line.contains(word))).collect()
 }
 
-/// Waits for the first such line; lines are written some hundred milliseconds late.
+/// Waits for the first line that contains every one of `words`; log lines are buffered for some
+/// hundred milliseconds.
 async fn wait_for_line(site: &Site, words: &[&str]) -> String {
     eventually("the line is written", async || matching_lines(site, words).into_iter().next()).await
 }
@@ -39,20 +40,20 @@
     for index in 0..8 {
         let id = format!("burst-{index}");
         let call = Call { id: &id, key: SMALL_KEY, ..Call::default() };
-        let reply = site.send(index % 2, &call).await.expect("an answer");
+        let reply = site.send(index % 2, &call).await.expect("the node answers");
         if reply.status == 429 {
             refused.get_or_insert(id);
         }
     }
-    let id = refused.expect("no two nodes hold eight requests of a burst of two");
+    let id = refused.expect("eight requests cannot fit into a burst of two");
 
     let line = wait_for_line(&site, &["event=refused", &format!("request={id} ")]).await;
     assert_eq!(field(&line, "kind"), "rate_limited");
     let message = field(&line, "message");
-    assert!(message.contains("share in reach 1.00"), "no node is silent: {message}");
+    assert!(message.contains("share in reach 1.00"), "a node is out of reach: {message}");
     let team = message.split(' ').nth(1).expect("the message names the team").to_owned();
-    // The team sent what its limit holds after a start of all nodes, half of the burst of two, so
-    // the refusal was right.
+    // After a start of all nodes the limit holds half of the burst of two, so the refusal is
+    // correct once one request of the team was sent.
     let sent = matching_lines(&site, &["event=sent", &format!("team={team} ")]).len();
     assert!(sent >= 1, "{sent} requests of {team} were sent before");
 }
@@ -64,13 +65,13 @@
         site.set_faults(&service.address, &json!({ "lose_answers": 1 })).await;
     }
     let call = Call { id: "call-lost", ..Call::default() };
-    let reply = site.send(1, &call).await.expect("an answer");
+    let reply = site.send(1, &call).await.expect("the node answers");
     assert_eq!(reply.status, 502, "{}", reply.body);
 
     let refused = wait_for_line(&site, &["event=refused", "request=call-lost "]).await;
     assert_eq!(field(&refused, "kind"), "backend_failed");
     let sent = matching_lines(&site, &["event=sent", "request=call-lost "]);
-    assert_eq!(sent.len(), 1, "its route does not allow a second run: {sent:?}");
+    assert_eq!(sent.len(), 1, "the route does not allow a second run: {sent:?}");
     let failed = wait_for_line(&site, &["event=attempt_failed", "request=call-lost "]).await;
     assert_eq!(field(&failed, "step"), "answer", "the call may have run");
     let server = field(&sent[0], "server");
@@ -79,7 +80,7 @@
     assert!(ran.iter().any(|run| Site::header(run, "request-id") == "call-lost"), "{ran:?}");
     assert!(
         matching_lines(&site, &["event=server_gone", &server]).is_empty(),
-        "it was not leaving"
+        "the server was leaving"
     );
 }
 
@@ -95,7 +96,7 @@
             ("token-budget", "200"),
         ];
         let call = Call { id, path: "/stream/talk/a", headers: &headers, ..Call::default() };
-        site.send(node, &call).await.expect("an answer")
+        site.send(node, &call).await.expect("the node answers")
     };
     assert_eq!(turn(&site, 0, "turn-0").await.status, 200);
     site.nodes[0].process.kill();
@@ -107,7 +108,7 @@
             break;
         }
     }
-    let id = refused.expect("the budget ends");
+    let id = refused.expect("the budget is exhausted");
 
     let line = wait_for_line(&site, &["event=refused", &format!("request={id} ")]).await;
     assert_eq!(field(&line, "kind"), "budget_exhausted");
@@ -115,15 +116,19 @@
     let spent = wait_for_line(&site, &["event=budget_spent", &format!("program={program} ")]).await;
     let settled: u64 = field(&spent, "settled").parse().expect("a number");
     let budget: u64 = field(&spent, "budget").parse().expect("a number");
-    assert!(settled < budget, "the row alone does not hold the whole budget: {spent}");
+    assert!(settled < budget, "settled tokens alone exhaust the budget: {spent}");
     let claims = field(&spent, "claims");
-    let claimant = claims.split('"').nth(1).expect("a claim is left").to_owned();
-    assert_ne!(claimant, field(&spent, "claimant"), "it is another node's: {spent}");
+    let claimant = claims.split('"').nth(1).expect("the line names a claim").to_owned();
+    assert_ne!(
+        claimant,
+        field(&spent, "claimant"),
+        "the claim is the refusing node's own: {spent}"
+    );
     let holder = site.nodes.iter().position(|node| {
         let marker = format!("event=claimant vm=node claimant={claimant}");
         node.process.lines().iter().any(|line| line.contains(&marker))
     });
-    assert_eq!(holder, Some(0), "the claim names the node that was killed");
+    assert_eq!(holder, Some(0), "the claim does not name the killed node");
     let stopped = site.nodes[0].process.lines().iter().any(|line| line.contains("event=stopped"));
-    assert!(!stopped, "it did not stop as planned");
+    assert!(!stopped, "the node shut down gracefully");
 }
--- a/crates/daemon/tests/front.rs
+++ b/crates/daemon/tests/front.rs
@@ -1,4 +1,4 @@
-//! The whole path on the users' platform, as separate processes.
+//! End-to-end tests of nodes on the users' platform, as separate processes.
 
 mod support;
 
@@ -37,9 +37,11 @@
     headers.extend(previous.map(|previous| ("previous-turn", previous)));
     let input = format!("input-{id};");
     let call = Call { id, path, headers: &headers, body: &input, ..Call::default() };
-    site.send(node, &call).await.expect("an answer")
+    site.send(node, &call).await.expect("the node answers")
 }
 
+/// Guards against turns that run without their history, or are refused, after one of the nodes that
+/// served the program was killed.
 #[ntex::test]
 async fn program_keeps_history_and_budget_when_a_node_is_killed() {
     let mut site = Site::start(3).await;
@@ -48,7 +50,7 @@
         if step == 3 {
             site.nodes[0].process.kill();
         }
-        // Turns wander: over all three nodes before the kill, over the other two afterwards.
+        // Turns go to all three nodes before the kill and to the other two afterwards.
         let node = if step < 3 { step } else { 1 + step % 2 };
         let id = format!("turn-{step}");
         let reply =
@@ -64,16 +66,18 @@
         previous = Some(id.clone());
         let tool = format!("tool-{step}");
         let call = Call { id: &tool, headers: &[("program-id", "p-1")], ..Call::default() };
-        assert_eq!(site.send(node, &call).await.expect("an answer").status, 200);
+        assert_eq!(site.send(node, &call).await.expect("the node answers").status, 200);
     }
     assert_eq!(site.recorded_requests(&site.engines).await.len(), 6);
     assert_eq!(site.recorded_requests(&site.services).await.len(), 6);
 }
 
+/// Guards against a program that overspends its budget, or cannot use all of it, because its turns
+/// arrive at different nodes.
 #[ntex::test]
 async fn budget_is_enforced_across_nodes() {
     let site = Site::start(3).await;
-    // A turn takes 50 tokens at most and delivers 40: five fit into 210.
+    // A turn reserves 50 tokens at most and produces 40, so five turns fit into 210.
     let mut complete_turns = 0;
     for step in 0..9_usize {
         let id = format!("turn-{step}");
@@ -87,9 +91,11 @@
         }
     }
     assert_eq!(complete_turns * EVENTS_PER_STREAM * TOKENS_PER_EVENT, 200);
-    assert_eq!(site.recorded_requests(&site.engines).await.len(), 5, "refused turns never ran");
+    assert_eq!(site.recorded_requests(&site.engines).await.len(), 5, "a refused turn ran");
 }
 
+/// Guards against access to turns of other teams, and against a turn that is reported as unknown
+/// while the store cannot be read.
 #[ntex::test]
 async fn previous_turn_of_another_team_is_unknown() {
     let site = Site::start(1).await;
@@ -97,12 +103,12 @@
     let headers = [("previous-turn", "t-1")];
     let path = "/stream/kept/a";
     let other = Call { id: "t-2", path, key: BETA_KEY, headers: &headers, ..Call::default() };
-    let reply = site.send(0, &other).await.expect("an answer");
+    let reply = site.send(0, &other).await.expect("the node answers");
     assert_eq!((reply.status, reply.kind().as_str()), (404, "turn_unknown"));
     site.set_faults(&site.store, &json!({ "outage": true })).await;
     let headers = [("previous-turn", "t-unknown")];
     let own = Call { id: "t-3", path, headers: &headers, ..Call::default() };
-    let reply = site.send(0, &own).await.expect("an answer");
+    let reply = site.send(0, &own).await.expect("the node answers");
     assert_eq!((reply.status, reply.kind().as_str()), (503, "platform_unavailable"));
 }
 
@@ -112,12 +118,13 @@
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "lose_answers": 1 })).await;
     }
-    let reply = site.send(0, &Call { id: "u-1", ..Call::default() }).await.expect("an answer");
+    let reply =
+        site.send(0, &Call { id: "u-1", ..Call::default() }).await.expect("the node answers");
     assert_eq!((reply.status, reply.run().as_str()), (502, "unknown"));
     assert_eq!(site.recorded_requests(&site.services).await.len(), 1);
-    // A safe call goes on at the other server.
+    // A safe call is retried at the other server.
     let safe = Call { id: "s-1", method: "GET", path: "/lookup/x", ..Call::default() };
-    assert_eq!(site.send(0, &safe).await.expect("an answer").status, 200);
+    assert_eq!(site.send(0, &safe).await.expect("the node answers").status, 200);
 }
 
 #[ntex::test]
@@ -125,25 +132,30 @@
     let site = Site::start(1).await;
     site.set_faults(&site.services[0].address, &json!({ "refuse": 1 })).await;
     site.set_faults(&site.services[1].address, &json!({ "refuse": 1 })).await;
-    assert_eq!(site.send(0, &Call::default()).await.expect("an answer").status, 200);
+    assert_eq!(site.send(0, &Call::default()).await.expect("the node answers").status, 200);
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "refuse": 100_000 })).await;
     }
-    let reply = site.send(0, &Call { id: "u-2", ..Call::default() }).await.expect("an answer");
+    let reply =
+        site.send(0, &Call { id: "u-2", ..Call::default() }).await.expect("the node answers");
     assert_eq!((reply.status, reply.run().as_str()), (503, "not_run"));
     assert_eq!(site.recorded_requests(&site.services).await.len(), 1);
 }
 
+/// Guards against giving a caller the answer to another request, which a backend server sends when
+/// it mixes up its answers.
 #[ntex::test]
 async fn answer_to_another_request_is_not_forwarded() {
     let site = Site::start(1).await;
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "answer_foreign": 1 })).await;
     }
-    let reply = site.send(0, &Call::default()).await.expect("an answer");
+    let reply = site.send(0, &Call::default()).await.expect("the node answers");
     assert_eq!((reply.status, reply.run().as_str()), (502, "unknown"));
 }
 
+/// Guards against streams that lose, repeat or split an event when the connection to the engine is
+/// closed in the middle of an event.
 #[ntex::test]
 async fn interrupted_stream_resumes_after_its_last_complete_event() {
     let site = Site::start(1).await;
@@ -156,7 +168,7 @@
     let after: Vec<&str> =
         resumed.iter().map(|request| Site::header(request, "last-event-id")).collect();
     assert!(after.contains(&"1"), "{after:?}");
-    // A stream that may not be resumed ends without its end.
+    // A stream that may not be resumed is cut off.
     for engine in &site.engines {
         site.set_faults(&engine.address, &json!({ "cut_streams": 1 })).await;
     }
@@ -180,7 +192,7 @@
         ("x-own", "kept"),
     ];
     let call = Call { headers: &headers, body: "body", ..Call::default() };
-    assert_eq!(site.send(0, &call).await.expect("an answer").status, 200);
+    assert_eq!(site.send(0, &call).await.expect("the node answers").status, 200);
     let record = site.recorded_requests(&site.services).await;
     let seen = record[0]["headers"].as_object().expect("headers");
     assert_eq!(seen["tenant"], "alpha");
@@ -202,34 +214,34 @@
     for node in 0..2 {
         eventually("the key stops working", async || {
             let call = Call { key: BETA_KEY, ..Call::default() };
-            let reply = site.send(node, &call).await.expect("an answer");
+            let reply = site.send(node, &call).await.expect("the node answers");
             (reply.status == 401).then_some(())
         })
         .await;
         let lookup = Call { path: "/lookup/x", method: "GET", ..Call::default() };
-        assert_eq!(site.send(node, &lookup).await.expect("an answer").status, 404);
+        assert_eq!(site.send(node, &lookup).await.expect("the node answers").status, 404);
     }
     site.publish(config(4)).await;
     site.put_row("op", "other", Some(json!({}))).await;
     let late = Call { key: BETA_KEY, ..Call::default() };
-    assert_eq!(site.send(0, &late).await.expect("an answer").status, 401);
-    // Two requests fit into the small team's burst, whatever nodes they come through.
+    assert_eq!(site.send(0, &late).await.expect("the node answers").status, 401);
+    // The small team's burst allows two requests over all nodes together.
     let mut statuses = Vec::new();
     for step in 0..6_usize {
         let call = Call { key: SMALL_KEY, ..Call::default() };
-        statuses.push(site.send(step % 2, &call).await.expect("an answer").status);
+        statuses.push(site.send(step % 2, &call).await.expect("the node answers").status);
         ntex::time::sleep(std::time::Duration::from_millis(250)).await;
     }
     assert!(statuses.iter().filter(|status| **status == 200).count() <= 2, "{statuses:?}");
     assert!(statuses.ends_with(&[429]), "{statuses:?}");
-    // A draining server gets no more requests.
+    // A draining server receives no more requests.
     let draining = &site.services[0];
     site.put_server(&draining.id, &draining.address, "desk", "draining").await;
-    let before = eventually("the drain is known", async || {
+    let before = eventually("the node sends nothing to the draining server", async || {
         let count = site.recorded_requests(&site.services[..1]).await.len();
         for id in 0..8 {
             let id = format!("d-{id}");
-            site.send(0, &Call { id: &id, ..Call::default() }).await.expect("an answer");
+            site.send(0, &Call { id: &id, ..Call::default() }).await.expect("the node answers");
         }
         (site.recorded_requests(&site.services[..1]).await.len() == count).then_some(count)
     })
@@ -237,6 +249,8 @@
     assert_eq!(site.recorded_requests(&site.services[..1]).await.len(), before);
 }
 
+/// Guards against failed requests during a shutdown: running streams must finish, and requests that
+/// arrive until the load balancer has noticed must be served.
 #[ntex::test]
 async fn graceful_shutdown_finishes_streams_and_reports_not_ready() {
     let mut site = Site::start(1).await;
@@ -256,9 +270,9 @@
         reply.is_ok_and(|reply| reply.status == 503).then_some(())
     })
     .await;
-    // Callers that the balancer still sends are served.
+    // Requests that the load balancer still sends must be served.
     let late = Call { id: "t-2", ..Call::default() };
-    assert_eq!(site.send(0, &late).await.expect("an answer").status, 200);
+    assert_eq!(site.send(0, &late).await.expect("the node answers").status, 200);
     let code = eventually("the process ends", async || site.nodes[0].process.try_exit()).await;
     assert_eq!(code, 0);
 }
@@ -278,13 +292,13 @@
     ];
     let mut seen = Vec::new();
     for (what, call, status) in calls {
-        let reply = site.send(0, &call).await.expect("an answer");
+        let reply = site.send(0, &call).await.expect("the node answers");
         assert_eq!(reply.status, status, "{what}: {}", reply.body);
         seen.push(format!("{what}: {} {}", reply.status, reply.body));
     }
     insta::assert_debug_snapshot!(seen);
     let open = Call { path: "/open/x", method: "GET", key: "wrong", ..Call::default() };
-    assert_eq!(site.send(0, &open).await.expect("an answer").status, 200);
+    assert_eq!(site.send(0, &open).await.expect("the node answers").status, 200);
     let metrics = site.metrics(0).await;
     assert!(
         metrics.contains("dandelionfront_refusals_total{reason=\"key_unknown\"} 1"),
@@ -292,6 +306,8 @@
     );
 }
 
+/// Guards against a repeatable request that is sent again until its deadline, up to 100 times a
+/// second, because no server completes an answer.
 #[ntex::test]
 async fn request_whose_answers_are_all_lost_has_bounded_attempts() {
     let site = Site::start(1).await;
@@ -299,7 +315,7 @@
         site.set_faults(&service.address, &json!({ "lose_answers": 1_000 })).await;
     }
     let call = Call { id: "r-lost", method: "GET", path: "/lookup/x", ..Call::default() };
-    let reply = site.send(0, &call).await.expect("an answer");
+    let reply = site.send(0, &call).await.expect("the node answers");
     assert_eq!(reply.status, 502, "{}", reply.body);
     let runs = site.recorded_requests(&site.services).await.len();
     assert!((2..=4).contains(&runs), "{runs} runs");
@@ -318,7 +334,7 @@
              content-length: 100000000\r\n\r\nfirst bytes"
         );
         stream.write_all(head.as_bytes()).expect("written");
-        // Nothing further is sent: the answer must not wait for it.
+        // The rest of the body is never sent, and the answer must not wait for it.
         let mut reply = Vec::new();
         stream.read_to_end(&mut reply).expect("the answer and the end of the connection");
         String::from_utf8(reply).expect("text")
@@ -329,10 +345,12 @@
     assert!(reply.contains("send a smaller one"), "{reply}");
 }
 
+/// Guards against nodes that report ready before they know each other, because each read the list
+/// of nodes before the others had registered.
 #[ntex::test]
 async fn nodes_started_together_know_each_other_once_ready() {
     let mut site = Site::start(0).await;
-    // All of them read the list before any of them is in it.
+    // With this delay, every node reads the list of nodes before any of them is in it.
     site.set_faults(&site.store, &json!({ "delay_ms": 200 })).await;
     site.add_nodes(3);
     site.wait_ready().await;
@@ -342,6 +360,7 @@
     }
 }
 
+/// Guards against a node that stops serving because only its own connections to the store fail.
 #[ntex::test]
 async fn node_without_store_access_works_through_a_peer() {
     let mut site = Site::start(1).await;
@@ -352,13 +371,13 @@
     site.wait_ready().await;
     let refuse = json!({ "refuse": true, "close_open": true });
     site.http.put_json(&control.to_string(), "/v1/faults", &refuse).await;
-    eventually("the node steps aside", async || {
+    eventually("the node is not ready", async || {
         let request = site.http.request("GET", &site.nodes[1].ready, "/v1/ready");
         let reply = site.http.send(request, "").await;
         reply.is_ok_and(|reply| reply.status == 503).then_some(())
     })
     .await;
-    // Budgets, kept turns and keys still work there, and it follows new versions.
+    // Budgets, stored turns and keys must still work on this node, and it must adopt new versions.
     let first = send_turn(&site, 1, "t-1", "/stream/kept/a", None, "1000").await;
     assert_eq!((first.status, first.body), (200, expected_stream()));
     let second = send_turn(&site, 0, "t-2", "/stream/kept/a", Some("t-1"), "1000").await;
@@ -368,16 +387,17 @@
     site.publish(newer).await;
     eventually("the key stops working", async || {
         let call = Call { key: BETA_KEY, ..Call::default() };
-        let reply = site.send(1, &call).await.expect("an answer");
+        let reply = site.send(1, &call).await.expect("the node answers");
         (reply.status == 401).then_some(())
     })
     .await;
 }
 
+/// Guards against engines that generate for callers that have disconnected.
 #[ntex::test]
 async fn disconnected_caller_ends_its_stream_at_the_engine() {
     let site = Site::start(1).await;
-    // The engines take a second for each event, so that the stream outlasts its caller.
+    // The engine takes a second for each event, so the stream still runs when the caller leaves.
     let slow = site.start_slow_engine().await;
     let call = Call { id: "t-1", path: "/stream/talk/a", ..Call::default() };
     let (request, http) = (site.request(0, &call), site.http.clone());
@@ -387,13 +407,14 @@
     })
     .await;
     running.cancel();
-    eventually("the node notices", async || {
+    eventually("the node notices that the caller has gone", async || {
         let metrics = site.http.request("GET", &site.nodes[0].metrics, "/metrics");
-        let metrics = site.http.send(metrics, "").await.expect("an answer").expect_status(200).body;
+        let metrics =
+            site.http.send(metrics, "").await.expect("the node answers").expect_status(200).body;
         metrics.contains("dandelionfront_callers_gone_total 1").then_some(())
     })
     .await;
-    eventually("the run ends", async || {
+    eventually("the stream ends at the engine", async || {
         let cut = site.http.get_json(&slow.address, "/standin/streams").await;
         (cut["open"] == 0).then_some(())
     })
--- a/crates/daemon/tests/help.rs
+++ b/crates/daemon/tests/help.rs
@@ -1,4 +1,4 @@
-//! The settings as the command line shows them.
+//! The help texts list the settings.
 
 use std::process::Command;
 
@@ -10,7 +10,7 @@
     insta::assert_snapshot!(text);
     let flags = text.lines().filter(|line| line.trim_start().starts_with("--"));
     let variables = text.matches("[env: DANDELIONFRONT_").count();
-    assert_eq!(flags.count(), variables, "a setting lacks its variable");
+    assert_eq!(flags.count(), variables, "a setting has no environment variable");
 }
 
 #[test]
--- a/crates/daemon/tests/history.rs
+++ b/crates/daemon/tests/history.rs
@@ -1,4 +1,4 @@
-//! Calls run in order, and a program's history is never lost or mixed.
+//! Calls run in order, and a program's history is never lost or mixed with another one.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::eventually;
 
-/// Sends a call until it is answered, as a caller with the same key would.
+/// Repeats a call at `node` with its idempotency key until it succeeds; returns the answer.
 async fn call_until_answered(fleet: &Fleet, node: usize, call: &ProgramCall<'_>) -> String {
     eventually("the call is answered", async || {
         let reply = fleet.model_call(&fleet.nodes[node], ALPHA_KEY, call).await.ok()?;
@@ -18,7 +18,7 @@
     .await
 }
 
-/// Checks that the history through `node` holds exactly `answers`, in order.
+/// Checks that the history read through `node` holds exactly `answers`, in order.
 async fn check_history(fleet: &Fleet, node: usize, program: &str, answers: &[String]) {
     let history =
         fleet.history(&fleet.nodes[node], ALPHA_KEY, program).await.expect_status(200).json();
@@ -33,6 +33,8 @@
     }
 }
 
+/// Guards against calls that are missing from the history because their owner gave the answer to
+/// the caller before it was recorded, and was then killed.
 #[ntex::test]
 async fn acknowledged_calls_survive_killed_owners() {
     let node_args = ["--checkpoint-interval-ms", "100"].map(str::to_owned).to_vec();
@@ -42,7 +44,8 @@
     let other = fleet.program_owned_by(&fleet.nodes[2], ALPHA_KEY).await;
     let (mut own_answers, mut other_answers) = (Vec::new(), Vec::new());
     for sequence in 1..=6 {
-        // A slow platform leaves time between an answer given too early and its record.
+        // A slow platform widens the time between an answer that is given too early and its
+        // record, so that the kill falls into it.
         let kills = sequence % 2 == 0 && fleet.nodes.len() > 2;
         fleet.platform_faults(json!({ "delay_ms": if kills { 100 } else { 0 } })).await;
         let key = format!("k-{sequence}");
@@ -61,6 +64,8 @@
     check_history(&fleet, 0, &other, &other_answers).await;
 }
 
+/// Guards against an owner that is frozen, loses its shards to another node and, once it resumes,
+/// still commits with its stale ownership.
 #[ntex::test]
 async fn frozen_owner_commits_nothing_after_takeover() {
     let mut fleet = Fleet::start(FleetOptions { nodes: 3, ..FleetOptions::default() }).await;
@@ -82,7 +87,7 @@
         fleet.wait_settled().await;
         check_history(&fleet, 2, &program, &answers).await;
     }
-    assert!(fleet.nodes[2].process.try_exit().is_none(), "the woken node runs on");
+    assert!(fleet.nodes[2].process.try_exit().is_none(), "the resumed node has exited");
 }
 
 #[ntex::test]
@@ -106,6 +111,8 @@
     check_history(&fleet, 1, &program, &answers).await;
 }
 
+/// Guards against calls that run twice or out of order when they arrive in reverse order and at two
+/// nodes each.
 #[ntex::test]
 async fn reordered_and_duplicate_calls_run_once_and_in_order() {
     let fleet = Fleet::start(FleetOptions { nodes: 3, ..FleetOptions::default() }).await;
@@ -122,7 +129,7 @@
         }
     }
     for call in pending {
-        call.await.expect("task ends").expect("answer").expect_status(200);
+        call.await.expect("task ends").expect("the node answers").expect_status(200);
     }
     let executed = fleet.engine_record(0).await;
     let order: Vec<_> = executed
@@ -132,6 +139,8 @@
     assert_eq!(order, ["1", "2", "3", "4", "5", "6"].map(Some));
 }
 
+/// Guards against an answer that is given before it is recorded, or lost and generated again, when
+/// the platform fails.
 #[ntex::test]
 async fn unrecorded_answer_is_withheld_until_it_is_recorded() {
     let node_args = ["--end-commit-wait-ms", "300"].map(str::to_owned).to_vec();
@@ -140,7 +149,8 @@
     let call = ProgramCall { program: &program, sequence: 1, idempotency_key: "k", content: "x" };
     fleet.platform_faults(json!({ "outage": true })).await;
     for node in [0, 1] {
-        let reply = fleet.model_call(&fleet.nodes[node], ALPHA_KEY, &call).await.expect("answer");
+        let reply =
+            fleet.model_call(&fleet.nodes[node], ALPHA_KEY, &call).await.expect("the node answers");
         assert_eq!((reply.kind().as_str(), reply.run().as_str()), ("platform_unavailable", "ran"));
     }
     let open = fleet.open_program(&fleet.nodes[1], ALPHA_KEY, &json!({})).await;
--- a/crates/daemon/tests/keys.rs
+++ b/crates/daemon/tests/keys.rs
@@ -1,4 +1,5 @@
-//! Keys: only the key's own team, never shown to a backend server, withdrawn within seconds.
+//! A key gives access to its own team only, is never shown to a backend server and stops working
+//! within seconds of its withdrawal.
 
 mod support;
 
@@ -9,13 +10,13 @@
 use support::fleet::{ALPHA_KEY, BETA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::eventually;
 
-/// Longest time from the acceptance of a withdrawal to the last byte.
+/// Longest time from the acceptance of a withdrawal to the last byte of a stream of the key.
 const MAX_WITHDRAWAL_TIME: Duration = Duration::from_secs(5);
 
-/// Completion that outlasts the bound.
+/// Length of a stream that outlasts [`MAX_WITHDRAWAL_TIME`], in tokens.
 const LONG_STREAM_TOKENS: u32 = 200;
 
-/// Options with engines whose streams outlast the bound.
+/// Returns options with engines whose streams of [`LONG_STREAM_TOKENS`] outlast the withdrawal.
 fn slow_engines() -> FleetOptions {
     let engine_args = ["--token-interval-ms", "100"].map(str::to_owned).to_vec();
     FleetOptions { engine_args, ..FleetOptions::default() }
@@ -32,7 +33,7 @@
     (request.bearer_auth(key), body.to_string())
 }
 
-/// Reads a stream to its end; returns its text and when the last byte came.
+/// Reads a stream to its end; returns its text and the time at which the last byte arrived.
 async fn read_stream((request, body): (ClientRequest, String)) -> (String, Instant) {
     let response = request.send_body(body).await.expect("stream begins");
     let mut payload = response.take_payload();
@@ -75,14 +76,19 @@
     }
     for node in &fleet.nodes {
         let call = ProgramCall { program: "", sequence: 1, idempotency_key: "k", content: "x" };
-        let reply =
-            fleet.model_call(node, ALPHA_KEY, &call).await.expect("answer").expect_status(401);
+        let reply = fleet
+            .model_call(node, ALPHA_KEY, &call)
+            .await
+            .expect("the node answers")
+            .expect_status(401);
         assert_eq!((reply.kind().as_str(), reply.run().as_str()), ("key_withdrawn", "not_run"));
     }
     let (text, _) = other.await.expect("task ends");
-    assert!(text.contains("[DONE]"), "the other team's stream goes on");
+    assert!(text.contains("[DONE]"), "the other team's stream was cut off");
 }
 
+/// Guards against a withdrawn key that still works on a node whose connections to the table are
+/// silent.
 #[ntex::test]
 async fn withdrawal_reaches_a_node_without_table_access() {
     let mut fleet = Fleet::start(slow_engines()).await;
@@ -102,6 +108,8 @@
     assert!(text.contains("key_withdrawn"), "{text}");
 }
 
+/// Guards against a withdrawn key that still works on other nodes because the table fails right
+/// after the withdrawal.
 #[ntex::test]
 async fn withdrawal_reaches_all_nodes_during_a_table_outage() {
     let fleet = Fleet::start(slow_engines()).await;
@@ -126,17 +134,26 @@
         fleet
             .model_call(&fleet.nodes[node], ALPHA_KEY, &call)
             .await
-            .expect("answer")
+            .expect("the node answers")
             .expect_status(200);
     }
     let call = ProgramCall { program: &program, sequence: 3, idempotency_key: "s", content: "x" };
-    fleet.service_call(&fleet.nodes[0], ALPHA_KEY, &call).await.expect("answer").expect_status(200);
+    fleet
+        .service_call(&fleet.nodes[0], ALPHA_KEY, &call)
+        .await
+        .expect("the node answers")
+        .expect_status(200);
     let open = fleet.http.request("GET", &fleet.nodes[0].listen, "/v1/services/status/now");
-    fleet.http.send(open.bearer_auth(ALPHA_KEY), "").await.expect("answer").expect_status(200);
+    fleet
+        .http
+        .send(open.bearer_auth(ALPHA_KEY), "")
+        .await
+        .expect("the node answers")
+        .expect_status(200);
     fleet
         .service_call(&fleet.nodes[0], "unknown-key-text", &call)
         .await
-        .expect("answer")
+        .expect("the node answers")
         .expect_status(401);
 
     let mut seen = fleet.engine_record(0).await;
@@ -165,30 +182,35 @@
     let missing = program.replace(&program[program.len() - 4..], "0000");
 
     let call = |program| ProgramCall { program, sequence: 1, idempotency_key: "k", content: "x" };
-    let foreign =
-        fleet.model_call(&fleet.nodes[0], BETA_KEY, &call(&program)).await.expect("answer");
-    let absent =
-        fleet.model_call(&fleet.nodes[0], BETA_KEY, &call(&missing)).await.expect("answer");
+    let foreign = fleet
+        .model_call(&fleet.nodes[0], BETA_KEY, &call(&program))
+        .await
+        .expect("the node answers");
+    let absent = fleet
+        .model_call(&fleet.nodes[0], BETA_KEY, &call(&missing))
+        .await
+        .expect("the node answers");
     assert_eq!(
         (foreign.status, &foreign.body),
         (absent.status, &absent.body),
-        "existence is shown"
+        "the answer shows whether the program exists"
     );
     let foreign = fleet.history(&fleet.nodes[0], BETA_KEY, &program).await;
     let absent = fleet.history(&fleet.nodes[0], BETA_KEY, &missing).await;
     assert_eq!(
         (foreign.status, &foreign.body),
         (absent.status, &absent.body),
-        "existence is shown"
+        "the answer shows whether the program exists"
     );
     fleet
         .service_call(&fleet.nodes[0], BETA_KEY, &call(&program))
         .await
-        .expect("answer")
+        .expect("the node answers")
         .expect_status(404);
 
     let single = fleet.http.request("POST", &fleet.nodes[0].listen, "/v1/services/desk/checkout");
-    let single = fleet.http.send(single.bearer_auth(BETA_KEY), "x").await.expect("answer");
+    let single =
+        fleet.http.send(single.bearer_auth(BETA_KEY), "x").await.expect("the node answers");
     assert_eq!((single.status, single.kind().as_str()), (404, "route_unknown"));
 
     let status = |key: Option<&str>| {
@@ -199,8 +221,8 @@
         };
         fleet.http.send(request, "")
     };
-    status(None).await.expect("answer").expect_status(200);
-    status(Some("no-such-key")).await.expect("answer").expect_status(401);
+    status(None).await.expect("the node answers").expect_status(200);
+    status(Some("no-such-key")).await.expect("the node answers").expect_status(401);
     let executed: Vec<Value> = fleet.service_record().await;
     assert_eq!(executed.len(), 1, "only the open route ran: {executed:?}");
     assert!(fleet.engine_record(0).await.is_empty());
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -1,4 +1,4 @@
-//! A team gets no more than its rate and burst over all nodes together.
+//! The rate and burst of a team are enforced over all nodes together.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use support::fleet::{ALPHA_KEY, BETA_KEY, Fleet, FleetOptions};
 
-/// Answers of one team under load.
+/// Outcomes of a team's calls under load.
 #[derive(Debug, Default)]
 struct LoadResult {
     answered: usize,
@@ -22,7 +22,7 @@
     objects
 }
 
-/// Starts a fleet whose team `alpha` has a limit.
+/// Starts a fleet that limits team `alpha` to the given rate and burst.
 async fn limited_fleet(nodes: usize, rate_per_s: f64, burst: u32) -> Fleet {
     let fleet = Fleet::start(FleetOptions { nodes, ..FleetOptions::default() }).await;
     let objects = limited_objects(&fleet, rate_per_s, burst);
@@ -32,7 +32,7 @@
     fleet
 }
 
-/// Sends calls of a team at `per_second` for `seconds`, spread over the given nodes.
+/// Sends `per_second` calls of a team each second for `seconds`, spread over the given nodes.
 async fn flood(
     fleet: &Fleet,
     nodes: &[usize],
@@ -80,7 +80,7 @@
     for first in 0..times.len() {
         for last in first..times.len() {
             let count = f64::from(u32::try_from(last - first + 1).expect("few calls"));
-            // A record in milliseconds places each end of the window within one millisecond.
+            // Times are recorded in milliseconds, so each end of the window is off by 1 ms at most.
             let window = times[last] - times[first] + 0.002;
             largest = largest.max(count - f64::from(burst) - rate_per_s * window);
         }
@@ -88,10 +88,10 @@
     largest
 }
 
-/// Longest time from the taking of a token to the execution it allows, as a bound of the check.
+/// Longest time, in seconds, between taking a token and the execution that it permits.
 ///
-/// A token is taken at the edge and spent at the service after the start was recorded; a call that
-/// waits shifts its execution, so a window may hold those that waited before it.
+/// A token is taken by the node that receives the call, and the service executes the call after its
+/// start was recorded. A window may therefore contain executions whose tokens were taken earlier.
 const MAX_TRANSIT_S: f64 = 0.5;
 
 async fn check_bound(fleet: &Fleet, rate_per_s: f64, burst: u32) {
@@ -111,9 +111,9 @@
     let quiet = flood(&fleet, &[0, 1, 2, 3, 4], BETA_KEY, 5, 4);
     let (flooded, quiet) = futures_util::future::join(flooded, quiet).await;
     check_bound(&fleet, 10.0, 20).await;
-    assert!(flooded.answered >= 50, "far below rate and burst: {flooded:?}");
+    assert!(flooded.answered >= 50, "far fewer calls than rate and burst allow: {flooded:?}");
     assert!(flooded.kinds.keys().eq(["rate_limited"]), "{flooded:?}");
-    assert_eq!(quiet.refused, 0, "a team inside its rate was refused: {quiet:?}");
+    assert_eq!(quiet.refused, 0, "a team within its rate was refused: {quiet:?}");
 }
 
 #[ntex::test]
@@ -122,7 +122,7 @@
     assert_eq!(fleet.limit_holder_count("alpha").await, 4);
     let result = flood(&fleet, &[0, 1, 2, 3, 4], ALPHA_KEY, 80, 4).await;
     check_bound(&fleet, 10.0, 64).await;
-    assert!(result.answered >= 90, "far below rate and burst: {result:?}");
+    assert!(result.answered >= 90, "far fewer calls than rate and burst allow: {result:?}");
 }
 
 #[ntex::test]
@@ -140,6 +140,7 @@
     assert!((2..=5).contains(&result.answered), "{result:?}");
 }
 
+/// Guards against a holder of the limit whose share is replaced by a full burst after it is killed.
 #[ntex::test]
 async fn killed_holder_adds_no_burst() {
     let mut fleet = limited_fleet(4, 1.0, 20).await;
@@ -149,9 +150,11 @@
     let others: Vec<usize> = (0..4).filter(|node| *node != holder).collect();
     let result = flood(&fleet, &others, ALPHA_KEY, 10, 14).await;
     check_bound(&fleet, 1.0, 20).await;
-    assert!(result.answered >= 3, "the dead holder's share did not come back: {result:?}");
+    assert!(result.answered >= 3, "the killed holder's share was not recovered: {result:?}");
 }
 
+/// Guards against a holder that is frozen, loses its share to another node and, once it resumes,
+/// still takes tokens from that share.
 #[ntex::test]
 async fn resumed_holder_adds_no_burst() {
     let fleet = limited_fleet(4, 1.0, 20).await;
@@ -166,11 +169,13 @@
     assert!(result.answered >= 1, "{result:?}");
 }
 
+/// Guards against refusals by the limit while the table fails, and against too many calls
+/// afterwards.
 #[ntex::test]
 async fn limits_hold_during_and_after_a_table_outage() {
     let fleet = limited_fleet(3, 10.0, 20).await;
     fleet.platform_faults(json!({ "outage": true })).await;
-    // Without a table nothing that may not be repeated runs; the tokens are what is checked.
+    // Non-repeatable calls do not run without the table; this checks that the limit refuses none.
     let result = flood(&fleet, &[0, 1, 2], ALPHA_KEY, 10, 5).await;
     assert!(!result.kinds.contains_key("limit_unavailable"), "{result:?}");
     assert!(!result.kinds.contains_key("rate_limited"), "{result:?}");
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes.
+//! End-to-end tests of calls through separate processes.
 
 mod support;
 
@@ -33,7 +33,7 @@
     let third = third.expect("third call").expect_status(200).json();
     assert_eq!(third["execution"], 1);
 
-    // A repeat of the call that may not be repeated gets the recorded answer from either node.
+    // A repeat of the non-repeatable call receives the recorded answer from either node.
     for node in [edge, owner] {
         let repeat = fleet.service_call(node, ALPHA_KEY, &checkout).await;
         assert_eq!(repeat.expect("repeat").expect_status(200).json(), third);
@@ -43,7 +43,7 @@
     let executed = fleet.engine_record(0).await;
     let prompts: Vec<_> = executed.iter().map(|request| request["body"].to_string()).collect();
     assert_eq!(prompts.len(), 2);
-    assert!(prompts[1].contains(&first), "the second call depends on the first answer");
+    assert!(prompts[1].contains(&first), "the second call does not contain the first answer");
 
     let history = fleet.history(edge, ALPHA_KEY, &program).await.expect_status(200).json();
     let states: Vec<_> = history["calls"].as_array().expect("calls").iter().collect();
--- a/crates/daemon/tests/refusals.rs
+++ b/crates/daemon/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear refusal that names the remedy, runs nothing and loses nothing.
+//! Bad input is refused with an error that names the remedy; nothing runs and nothing is lost.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::fleet::{ALPHA_KEY, BETA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::Reply;
 
-/// Returns status and error of a refusal, with its variable parts replaced.
+/// Returns the status and error of a refusal, with the program's identifier replaced.
 fn summary(reply: &Reply, program: &str) -> Value {
     let mut error = reply.json()["error"].clone();
     let message = error["message"].as_str().unwrap_or_default().replace(program, "PROGRAM");
@@ -27,7 +27,7 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    fleet.http.send(request, body).await.expect("answer")
+    fleet.http.send(request, body).await.expect("the node answers")
 }
 
 #[ntex::test]
@@ -88,7 +88,8 @@
     let fleet = Fleet::start(FleetOptions { node_args, ..FleetOptions::default() }).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     let third = ProgramCall { program: &program, sequence: 3, idempotency_key: "c", content: "x" };
-    let reply = fleet.model_call(&fleet.nodes[0], ALPHA_KEY, &third).await.expect("answer");
+    let reply =
+        fleet.model_call(&fleet.nodes[0], ALPHA_KEY, &third).await.expect("the node answers");
     assert_eq!((reply.kind().as_str(), reply.run().as_str()), ("sequence_ahead", "not_run"));
     assert!(fleet.engine_record(0).await.is_empty());
 }
@@ -117,7 +118,7 @@
     })
     .await;
     fleet.engines[0].0.kill();
-    let reply = call.await.expect("task ends").expect("answer");
+    let reply = call.await.expect("task ends").expect("the node answers");
     assert_eq!(reply.run(), "unknown", "the call ran at the engine: {}", reply.body);
 }
 
@@ -128,7 +129,7 @@
     let mut process = support::process::ChildProcess::daemon(&args, &[]);
     let code = support::http::eventually("the daemon exits", async || process.try_exit()).await;
     assert_eq!(code, 2);
-    let lines = support::http::eventually("all faults are printed", async || {
+    let lines = support::http::eventually("all errors are printed", async || {
         Some(process.lines()).filter(|lines| lines.len() == 4)
     })
     .await;
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request.
+//! A graceful shutdown interrupts no request.
 
 mod support;
 
@@ -9,11 +9,13 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::{Http, eventually};
 
-/// Sends calls of one program after another through the nodes in `listen` until told to stop.
+/// Sends the calls of a program one after another until `stop` is set.
+///
+/// `address_index` selects the address of the node that gets the next call.
 async fn keep_calling(
     http: Http,
     program: String,
-    listen: Rc<Cell<usize>>,
+    address_index: Rc<Cell<usize>>,
     addresses: Vec<String>,
     stop: Rc<Cell<bool>>,
 ) -> Result<u64, String> {
@@ -23,7 +25,7 @@
         let key = format!("k-{sequence}");
         let call =
             ProgramCall { program: &program, sequence, idempotency_key: &key, content: &key };
-        let address = &addresses[listen.get()];
+        let address = &addresses[address_index.get()];
         let reply = if sequence % 3 == 0 {
             let request = call.request(&http, address, ALPHA_KEY);
             http.send(request, key.clone()).await
@@ -45,7 +47,7 @@
     let options = FleetOptions { nodes: 3, engine_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
     let stop = Rc::new(Cell::new(false));
-    let entry = Rc::new(Cell::new(0));
+    let address_index = Rc::new(Cell::new(0));
     let mut addresses: Vec<String> = fleet.nodes.iter().map(|node| node.listen.clone()).collect();
     for _ in 0..3 {
         fleet.add_node();
@@ -59,14 +61,14 @@
         callers.push(ntex::rt::spawn(keep_calling(
             fleet.http.clone(),
             program,
-            Rc::clone(&entry),
+            Rc::clone(&address_index),
             addresses.clone(),
             Rc::clone(&stop),
         )));
     }
     for stopped in 0..3 {
         fleet.pause(std::time::Duration::from_millis(500)).await;
-        // The balancer takes a draining node out once it reports that it is not ready.
+        // A load balancer stops sending calls to a node that reports that it is not ready.
         fleet.nodes[0].process.signal("TERM");
         eventually("the node is draining", async || {
             let request = fleet.http.request("GET", &fleet.nodes[0].operator, "/readyz");
@@ -74,7 +76,7 @@
             (!reply.is_ok_and(|reply| reply.status == 200)).then_some(())
         })
         .await;
-        entry.set(stopped + 1);
+        address_index.set(stopped + 1);
         let code = eventually("the node exits", async || fleet.nodes[0].process.try_exit()).await;
         assert_eq!(code, 0);
         fleet.nodes.remove(0);
@@ -84,7 +86,7 @@
     for caller in callers {
         calls += caller.await.expect("task ends").expect("no call fails");
     }
-    assert!(calls > 100, "the load was {calls} calls");
+    assert!(calls > 100, "only {calls} calls were sent");
     fleet.wait_settled().await;
 }
 
@@ -100,7 +102,7 @@
     eventually("the call executes", async || (fleet.executions("k").await == 1).then_some(()))
         .await;
     fleet.nodes[0].process.signal("TERM");
-    pending.await.expect("task ends").expect("answer").expect_status(200);
+    pending.await.expect("task ends").expect("the node answers").expect_status(200);
     let code = eventually("the node exits", async || fleet.nodes[0].process.try_exit()).await;
     assert_eq!(code, 0);
     let history =
--- a/crates/daemon/tests/support/fleet.rs
+++ b/crates/daemon/tests/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of nodes with stand-ins around it.
+//! Nodes of a test together with stand-ins for the platform, the engines and the service.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 /// Key of team `beta`.
 pub const BETA_KEY: &str = "key-of-beta";
 
-/// Size and settings of a fleet.
+/// Numbers and arguments of the processes of a fleet.
 pub struct FleetOptions {
     pub nodes: usize,
     pub engines: usize,
@@ -33,7 +33,7 @@
     }
 }
 
-/// One daemon process and its addresses.
+/// A node's process and its addresses.
 pub struct Node {
     pub process: ChildProcess,
     pub listen: String,
@@ -41,7 +41,7 @@
     pub operator: String,
 }
 
-/// Processes of one test.
+/// The processes of a test.
 pub struct Fleet {
     pub http: Http,
     pub platform: ChildProcess,
@@ -63,7 +63,7 @@
 }
 
 impl Fleet {
-    /// Starts all processes, publishes a configuration and waits until every node serves.
+    /// Starts all processes, publishes a configuration and waits until the nodes have settled.
     pub async fn start(options: FleetOptions) -> Self {
         let (platform, platform_address) = start_standin("platform", &[]);
         let engines =
@@ -86,7 +86,9 @@
         fleet
     }
 
-    /// Starts a proxy in front of `target`; returns it with its address, and its control address.
+    /// Starts a proxy in front of `target` that can simulate faults of the connections.
+    ///
+    /// Returns the process with its address, and the address that controls the faults.
     pub fn proxy(target: &str) -> ((ChildProcess, String), String) {
         let args = strings(&["--target", target]);
         let process = ChildProcess::standin("proxy", &args);
@@ -95,7 +97,8 @@
         ((process, address), control)
     }
 
-    /// Starts one more node that fails at a crash point, and waits until it serves.
+    /// Adds a node that crashes or freezes at `crash_point`; returns its index once the nodes have
+    /// settled.
     pub async fn add_crashing_node(&mut self, crash_point: &str) -> usize {
         let environment = [("DANDELIONFRONT_CRASH_POINT", crash_point)];
         let node = self.start_node(&self.platform_address, &environment);
@@ -104,13 +107,13 @@
         self.nodes.len() - 1
     }
 
-    /// Starts one more node.
+    /// Adds a node.
     pub fn add_node(&mut self) {
         let node = self.start_node(&self.platform_address, &[]);
         self.nodes.push(node);
     }
 
-    /// Starts a node that reaches the platform at `platform`.
+    /// Starts a node that uses the platform at the address `platform`.
     pub fn start_node(&self, platform: &str, environment: &[(&str, &str)]) -> Node {
         let mut args = strings(&[
             "--listen",
@@ -151,7 +154,7 @@
         }
     }
 
-    /// Returns a configuration for two teams, one model, one service.
+    /// Returns the objects of a configuration with two teams, one model and one service.
     pub fn sample_objects(&self) -> Value {
         let digest = |key: &str| dandelionfront_coordination::ids::sha256_hex(key.as_bytes());
         let mut backends = json!({
@@ -180,14 +183,14 @@
         })
     }
 
-    /// Publishes objects through the first node on top of the newest version.
+    /// Publishes objects through the first node, based on that node's version.
     pub async fn publish(&self, objects: Value, publish_id: &str) -> Reply {
         let operator = &self.nodes[0].operator;
         let current = self.http.get_json(operator, "/v1/config").await;
         self.publish_on(operator, &current["version"], objects, publish_id).await
     }
 
-    /// Publishes objects through `operator` on top of `base_version`.
+    /// Publishes objects based on `base_version` through the node with the address `operator`.
     pub async fn publish_on(
         &self,
         operator: &str,
@@ -206,9 +209,10 @@
         self.http.send(request, publication.to_string()).await.expect("publish answers")
     }
 
-    /// Waits until all shards are served and every node has the newest configuration.
+    /// Waits until every node has a configuration, knows that all nodes are live and reports itself
+    /// settled, and all shards are served.
     pub async fn wait_settled(&self) {
-        eventually("the fleet is settled", async || {
+        eventually("the nodes have settled", async || {
             let mut shards = 0;
             for node in &self.nodes {
                 let status = self.status(node).await?;
@@ -228,9 +232,9 @@
         .await;
     }
 
-    /// Waits until the nodes at `indices` serve all shards.
+    /// Waits until the nodes with these indices serve all shards.
     pub async fn wait_for_all_shards(&self, indices: &[usize]) {
-        eventually("the shards are taken over", async || {
+        eventually("all shards are served", async || {
             let mut shards = 0;
             for index in indices {
                 shards += self.status(&self.nodes[*index]).await?["shards"].as_u64()?;
@@ -240,7 +244,7 @@
         .await;
     }
 
-    /// Waits until every node has the configuration `version`.
+    /// Waits until every node has adopted the configuration `version` or a newer one.
     pub async fn wait_config(&self, version: u64) {
         eventually("the configuration is in force", async || {
             for node in &self.nodes {
@@ -272,10 +276,10 @@
                 return index;
             }
         }
-        panic!("no node is the holder of {row}")
+        panic!("no node holds the first share of {row}")
     }
 
-    /// Returns a node's status.
+    /// Returns a node's status, or `None` if the node does not return one.
     pub async fn status(&self, node: &Node) -> Option<Value> {
         let request = self.http.request("GET", &node.operator, "/v1/status");
         let reply = self.http.send(request, "").await.ok()?;
@@ -288,7 +292,7 @@
         self.http.send(request, body.to_string()).await.expect("open answers")
     }
 
-    /// Opens a program whose owner is `owner`.
+    /// Opens a program whose owner is `owner`; returns its identifier.
     pub async fn program_owned_by(&self, owner: &Node, key: &str) -> String {
         let reply = self.open_program(owner, key, &json!({})).await.expect_status(201);
         reply.json()["id"].as_str().expect("id is text").to_owned()
@@ -305,7 +309,7 @@
         self.http.send(request, body).await
     }
 
-    /// Sends a service call of a program that may not be repeated.
+    /// Sends a non-repeatable service call of a program.
     pub async fn service_call(
         &self,
         node: &Node,
@@ -315,7 +319,7 @@
         self.http.send(call.request(&self.http, &node.listen, key), call.content.to_owned()).await
     }
 
-    /// Reads a program through a node.
+    /// Reads the history of a program through a node.
     pub async fn history(&self, node: &Node, key: &str, program: &str) -> Reply {
         let request = self.http.request("GET", &node.listen, &format!("/v1/programs/{program}"));
         self.http.send(request.bearer_auth(key), "").await.expect("history answers")
@@ -340,7 +344,7 @@
         record.iter().filter(same).count()
     }
 
-    /// Sets the platform's faults.
+    /// Sets the faults that the platform simulates.
     pub async fn platform_faults(&self, faults: Value) {
         self.http.put_json(&self.platform_address, "/v1/faults", &faults).await;
     }
@@ -351,7 +355,7 @@
     }
 }
 
-/// One call of a program.
+/// A call of a program.
 #[derive(Clone, Copy)]
 pub struct ProgramCall<'a> {
     pub program: &'a str,
@@ -377,7 +381,7 @@
         (self.headers(request.bearer_auth(key)), body.to_string())
     }
 
-    /// Creates the request of a service call that may not be repeated.
+    /// Creates the request of a non-repeatable service call.
     pub fn request(&self, http: &Http, listen: &str, key: &str) -> ntex::client::ClientRequest {
         let request = http.request("POST", listen, "/v1/services/desk/checkout");
         self.headers(request.bearer_auth(key))
--- a/crates/daemon/tests/support/http.rs
+++ b/crates/daemon/tests/support/http.rs
@@ -7,17 +7,15 @@
 use ntex::time::{Millis, Seconds, timeout};
 use serde_json::Value;
 
-/// Connections open at the same time.
+/// Largest number of connections that are open at the same time.
 const CONNECTIONS_MAX: usize = 4096;
-/// Longest wait for any answer.
+/// Longest time from sending a request to the end of its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A complete answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// HTTP status.
     pub status: u16,
-    /// Body.
     pub body: String,
 }
 
@@ -25,7 +23,7 @@
     /// Returns the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body)
-            .unwrap_or_else(|error| panic!("no JSON ({error}): {} {}", self.status, self.body))
+            .unwrap_or_else(|error| panic!("invalid JSON ({error}): {} {}", self.status, self.body))
     }
 
     /// Returns the field `run` of a refusal.
@@ -40,12 +38,12 @@
 
     /// Panics unless the status is `expected`.
     pub fn expect_status(self, expected: u16) -> Self {
-        assert_eq!(self.status, expected, "unexpected answer: {}", self.body);
+        assert_eq!(self.status, expected, "unexpected status; body: {}", self.body);
         self
     }
 }
 
-/// Client without retries; every request uses a new connection.
+/// HTTP client that never retries and opens a new connection for each request.
 #[derive(Clone)]
 pub struct Http {
     client: Client,
@@ -66,13 +64,13 @@
         Self { client }
     }
 
-    /// Starts a request to `http://{address}{path}`.
+    /// Creates a request to `http://{address}{path}`.
     pub fn request(&self, method: &str, address: &str, path: &str) -> ClientRequest {
         let method = method.parse().expect("method is a constant");
         self.client.request(method, format!("http://{address}{path}"))
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn send(
         &self,
         request: ClientRequest,
@@ -102,7 +100,11 @@
     }
 }
 
-/// Waits until `check` yields a value; panics with `what` after the bound.
+/// Polls `check` until it returns a value.
+///
+/// # Panics
+///
+/// Panics if there is no value after 60 seconds; `what` names the missing condition.
 pub async fn eventually<T, F: AsyncFnMut() -> Option<T>>(what: &str, mut check: F) -> T {
     const TIMEOUT: Duration = Duration::from_secs(60);
     const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -111,7 +113,7 @@
         if let Some(value) = check().await {
             return value;
         }
-        assert!(started.elapsed() < TIMEOUT, "gave up waiting until {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting until {what}");
         ntex::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Starts real processes and talks to them over loopback.
-#![allow(dead_code, reason = "each test program uses a part of the support module")]
+//! Starts separate processes and connects to them over loopback.
+#![allow(dead_code, reason = "each test binary uses only some of the support module")]
 
 pub mod fleet;
 pub mod http;
--- a/crates/daemon/tests/support/process.rs
+++ b/crates/daemon/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! Child processes that end with the test.
+//! Child processes that are killed at the end of the test.
 
 use std::io::{BufRead as _, BufReader, Read};
 use std::path::Path;
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::Duration;
 
-/// Longest wait for a process to announce its address.
+/// Longest wait for a line that a process must print, such as the line with its address.
 const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A child process, killed when dropped.
@@ -22,10 +22,10 @@
         Self::spawn(Path::new(env!("CARGO_BIN_EXE_dandelionfront")), args, environment)
     }
 
-    /// Starts a stand-in, an example of the stand-ins package.
+    /// Starts a stand-in, which is built as an example of the package of stand-ins.
     pub fn standin(name: &str, args: &[String]) -> Self {
         let daemon = Path::new(env!("CARGO_BIN_EXE_dandelionfront"));
-        let folder = daemon.parent().expect("the daemon lies in the target folder");
+        let folder = daemon.parent().expect("the daemon is in the target directory");
         Self::spawn(&folder.join("examples").join(name), args, &[])
     }
 
@@ -47,7 +47,7 @@
         Self { child, lines, unread_lines }
     }
 
-    /// Waits for the next line that contains `marker` and returns its values by key.
+    /// Waits for the next line that contains `marker` and returns its `key=value` pairs.
     pub fn wait_for(&self, marker: &str) -> Vec<(String, String)> {
         let deadline = std::time::Instant::now() + LINE_TIMEOUT;
         loop {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns everything that the process printed so far.
+    /// Returns all lines that the process has printed so far.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().expect("no panic while holding the lock").clone()
     }
@@ -73,7 +73,7 @@
         self.child.id()
     }
 
-    /// Kills the process at once.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -86,7 +86,7 @@
         assert!(status.is_ok_and(|status| status.success()), "kill -{name} failed");
     }
 
-    /// Returns the exit code if the process has ended.
+    /// Returns the exit code of the process, `-1` if a signal ended it, or `None` while it runs.
     pub fn try_exit(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
--- a/crates/daemon/tests/support/site.rs
+++ b/crates/daemon/tests/support/site.rs
@@ -1,4 +1,4 @@
-//! Nodes on a stand-in of the users' platform.
+//! Nodes of a test together with a stand-in for the users' platform.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -11,24 +11,24 @@
 use super::http::{Http, Reply, eventually};
 use super::process::ChildProcess;
 
-/// Key of team `alpha`, whose limit is ample.
+/// Key of team `alpha`, whose limit no test reaches.
 pub const ALPHA_KEY: &str = "key-of-alpha";
 /// Key of team `beta`.
 pub const BETA_KEY: &str = "key-of-beta";
-/// Key of team `small`, which may send two requests and hardly any later.
+/// Key of team `small`, which has a burst of two requests and a rate of one in 100 seconds.
 pub const SMALL_KEY: &str = "key-of-small";
 /// Host of all routes.
 const HOST: &str = "calls.example";
-/// Longest wait for a node's first line.
+/// Longest wait until a node has started or failed to start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks for it.
+/// Interval between checks whether a node has started.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS_PER_STREAM: u64 = 4;
-/// Tokens that each event counts.
+/// Tokens that are counted for each event.
 pub const TOKENS_PER_EVENT: u64 = 10;
 
-/// One daemon process and its addresses.
+/// A node's process and its addresses.
 pub struct SiteNode {
     pub process: ChildProcess,
     pub listen: String,
@@ -38,7 +38,7 @@
 }
 
 impl SiteNode {
-    /// Waits until the node has bound its addresses; returns whether they were free.
+    /// Waits until the node has bound its addresses; returns `false` if one was already in use.
     fn wait_until_bound(&self) -> bool {
         let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
@@ -69,7 +69,7 @@
     pub address: String,
 }
 
-/// Store, backend servers and nodes.
+/// The store, backend servers and nodes of a test.
 pub struct Site {
     pub http: Http,
     pub store: String,
@@ -79,7 +79,7 @@
     pub config: Value,
 }
 
-/// A request of a caller.
+/// A caller's request.
 pub struct Call<'a> {
     pub id: &'a str,
     pub method: &'a str,
@@ -112,7 +112,7 @@
     route
 }
 
-/// Returns the first configuration.
+/// Returns the configuration of the tests with the given version.
 pub fn config(version: u64) -> Value {
     json!({
         "version": version,
@@ -139,7 +139,8 @@
 }
 
 impl Site {
-    /// Starts a store, two engines, two services and `nodes` nodes that are ready.
+    /// Starts a store, two engines, two services and `nodes` nodes, and waits until the nodes are
+    /// ready.
     pub async fn start(nodes: usize) -> Self {
         let http = Http::new().await;
         let any_port = "127.0.0.1:0".parse().expect("valid");
@@ -170,7 +171,7 @@
         site
     }
 
-    /// Writes the entry of a backend server.
+    /// Writes the row of a backend server to the store.
     pub async fn put_server(&self, id: &str, address: &str, service: &str, state: &str) {
         let value = json!({
             "service": service, "address": address, "zone": "zone-a", "version": "v1", "slots": 4,
@@ -179,7 +180,7 @@
         self.put_row("servers", id, Some(value)).await;
     }
 
-    /// Writes or removes a row as the operator or a backend server does.
+    /// Writes a row as the operator or a backend server would, or removes it if `value` is `None`.
     pub async fn put_row(&self, table: &str, key: &str, value: Option<Value>) {
         let row = json!({ "table": table, "key": key, "value": value });
         self.http.put_json(&self.store, "/standin/rows", &row).await;
@@ -190,25 +191,25 @@
         self.put_row("op", "config", Some(config)).await;
     }
 
-    /// Sets the faults of a stand-in.
+    /// Sets the faults that the stand-in at `address` simulates.
     pub async fn set_faults(&self, address: &str, faults: &Value) {
         self.http.put_json(address, "/standin/faults", faults).await;
     }
 
-    /// Starts one more node.
+    /// Adds a node.
     pub fn add_node(&mut self) {
         self.add_nodes(1);
     }
 
-    /// Starts more nodes at the same time.
+    /// Adds `count` nodes that start at the same time.
     pub fn add_nodes(&mut self, count: usize) {
         self.add_nodes_with_store(count, &self.store.clone());
     }
 
-    /// Starts more nodes that reach the store at `store`.
+    /// Adds `count` nodes that use the store at the address `store`.
     ///
-    /// A free port may be taken by a test that runs beside this one before a node binds it; such a
-    /// node starts again with others.
+    /// Another test may take a free port before the node binds it; such a node is started again
+    /// with other ports.
     pub fn add_nodes_with_store(&mut self, count: usize, store: &str) {
         let nodes: Vec<SiteNode> = (0..count).map(|_| Self::start_node(store)).collect();
         for mut node in nodes {
@@ -231,7 +232,7 @@
              [provider]\naddress = \"{store}\"\n",
         );
         let path = std::env::temp_dir().join(format!("dandelionfront-{}.toml", listen.port()));
-        std::fs::write(&path, settings).expect("the temporary folder is writable");
+        std::fs::write(&path, settings).expect("the temporary directory is writable");
         let args = ["front", "--settings", &path.display().to_string(), "--metrics-port"];
         let mut args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
         args.push(metrics.port().to_string());
@@ -260,10 +261,10 @@
     /// Returns the metrics of a node.
     pub async fn metrics(&self, node: usize) -> String {
         let request = self.http.request("GET", &self.nodes[node].metrics, "/metrics");
-        self.http.send(request, "").await.expect("an answer").expect_status(200).body
+        self.http.send(request, "").await.expect("the node answers").expect_status(200).body
     }
 
-    /// Replaces the engines by one that takes a second for each event.
+    /// Replaces the engines with one that takes a second for each event.
     pub async fn start_slow_engine(&self) -> SiteRunner {
         let any_port = "127.0.0.1:0".parse().expect("valid");
         let id = "engine-slow".to_owned();
@@ -273,14 +274,14 @@
             self.put_row("servers", &engine.id, None).await;
         }
         self.put_server(&id, &address, "geo", "ready").await;
-        eventually("the node sends to the slow engine", async || {
+        eventually("the node has the new list of servers", async || {
             self.metrics(0).await.contains("dandelionfront_servers 3\n").then_some(())
         })
         .await;
         SiteRunner { id, address }
     }
 
-    /// Builds a request to a node.
+    /// Creates a request to a node.
     pub fn request(&self, node: usize, call: &Call<'_>) -> ClientRequest {
         let address = &self.nodes[node].listen;
         let mut request = self.http.request(call.method, address, call.path);
@@ -292,12 +293,13 @@
         request
     }
 
-    /// Sends a request to a node and reads the whole answer.
+    /// Sends a request to a node and reads the complete response.
     pub async fn send(&self, node: usize, call: &Call<'_>) -> Result<Reply, String> {
         self.http.send(self.request(node, call), call.body).await
     }
 
-    /// Returns what the given backend servers ran, in the order of each.
+    /// Returns the requests that the given backend servers ran, grouped by server and in order of
+    /// execution within each group.
     pub async fn recorded_requests(&self, runners: &[SiteRunner]) -> Vec<Value> {
         let mut record = Vec::new();
         for runner in runners {
@@ -307,7 +309,7 @@
         record
     }
 
-    /// Returns a header of a recorded request.
+    /// Returns a header of a recorded request, or an empty string if it is missing.
     pub fn header<'a>(request: &'a Value, name: &str) -> &'a str {
         request["headers"][name].as_str().unwrap_or_default()
     }
--- a/crates/daemon/tests/trial.rs
+++ b/crates/daemon/tests/trial.rs
@@ -1,4 +1,4 @@
-//! The trial runs a sample program end to end and says so.
+//! The trial runs a sample program end to end and prints its steps.
 
 use std::process::Command;
 
