--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -209,7 +209,7 @@
             Some(_) => PlacementPolicy::Affinity,
             None => PlacementPolicy::TwoChoices,
         };
-        let demand = PlacementRequest {
+        let placement_request = PlacementRequest {
             policy,
             key: &self.admitted.placement_key,
             may_repeat: self.admitted.route.repeat.may_repeat(),
@@ -217,7 +217,7 @@
         };
         let ready = servers.ready(&self.admitted.service);
         let now = self.node.clock.monotonic_now();
-        self.node.placement.borrow().choose(demand, ready, now).cloned()
+        self.node.placement.borrow().choose(placement_request, ready, now).cloned()
     }
 
     /// Returns the server that must get the next attempt once the route's limit on the number of
