--- a/crates/daemon/tests/keys.rs
+++ b/crates/daemon/tests/keys.rs
@@ -16,7 +16,8 @@
 /// Length of a stream that outlasts [`MAX_WITHDRAWAL_TIME`], in tokens.
 const LONG_STREAM_TOKENS: u32 = 200;
 
-/// Returns options with engines whose streams of [`LONG_STREAM_TOKENS`] outlast the withdrawal.
+/// Returns options with engines whose streams of [`LONG_STREAM_TOKENS`] outlast
+/// [`MAX_WITHDRAWAL_TIME`].
 fn slow_engines() -> FleetOptions {
     let engine_args = ["--token-interval-ms", "100"].map(str::to_owned).to_vec();
     FleetOptions { engine_args, ..FleetOptions::default() }
