--- a/crates/daemon/tests/answers.rs
+++ b/crates/daemon/tests/answers.rs
@@ -1,4 +1,4 @@
-//! A caller receives the whole answer to its own request, or an honest error.
+//! A caller receives the complete answer to its own request, or an error.
 
 mod support;
 
@@ -8,8 +8,12 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, Node};
 use support::http::eventually;
 
-/// Streams one completion; returns its text, and whether it was marked as complete.
-async fn stream(fleet: &Fleet, node: &Node, content: &str) -> Result<(String, bool), String> {
+/// Requests a streamed completion; returns its text and whether `[DONE]` marked it as complete.
+async fn stream_completion(
+    fleet: &Fleet,
+    node: &Node,
+    content: &str,
+) -> Result<(String, bool), String> {
     let request = fleet.http.request("POST", &node.listen, "/v1/chat/completions");
     let body = json!({
         "model": "geo", "stream": true, "max_tokens": 64,
@@ -27,39 +31,43 @@
     Ok((text, false))
 }
 
-/// Returns the undisturbed answers of the engine to each content.
-async fn expected(fleet: &Fleet, contents: &[String]) -> HashMap<String, String> {
+/// Returns the answer to each content when no fault is simulated.
+async fn undisturbed_answers(fleet: &Fleet, contents: &[String]) -> HashMap<String, String> {
     let mut answers = HashMap::new();
     for content in contents {
-        let (text, complete) = stream(fleet, &fleet.nodes[0], content).await.expect("answer");
-        assert!(complete, "undisturbed answers are complete");
+        let (text, complete) =
+            stream_completion(fleet, &fleet.nodes[0], content).await.expect("the node answers");
+        assert!(complete, "an answer without faults is incomplete");
         answers.insert(content.clone(), text);
     }
     answers
 }
 
-/// Options with short silences, so that a silent link is replaced soon.
-fn quick_options(nodes: usize) -> FleetOptions {
+/// Returns options with which a stream on a silent connection is resumed after 700 ms.
+fn short_silence_options(nodes: usize) -> FleetOptions {
     let node_args = ["--engine-silence-ms", "700"].map(str::to_owned).to_vec();
     FleetOptions { nodes, node_args, ..FleetOptions::default() }
 }
 
-/// Puts a proxy between the nodes and the first engine; returns it with its control address.
-async fn proxy_engine(fleet: &Fleet) -> (support::process::ChildProcess, String) {
+/// Routes the traffic to the first engine through a proxy; returns the proxy and the address that
+/// controls its faults.
+async fn proxy_first_engine(fleet: &Fleet) -> (support::process::ChildProcess, String) {
     let (proxy, control) = Fleet::proxy(&fleet.engines[0].1);
     let mut objects = fleet.sample_objects();
     objects["backend"]["engine-0"]["address"] = json!(proxy.1);
-    fleet.publish(objects, "proxied").await.expect(200);
+    fleet.publish(objects, "proxied").await.expect_status(200);
     fleet.wait_config(2).await;
     (proxy.0, control)
 }
 
+/// Guards against answers that contain text of other calls or end early but are marked as complete,
+/// when connections to an engine are cut, delayed, closed, silenced or refused during a stream.
 #[ntex::test]
-async fn links_to_an_engine_that_cut_delay_or_go_silent_mix_nothing() {
-    let fleet = Fleet::start(quick_options(2)).await;
+async fn engine_connection_faults_never_corrupt_answers() {
+    let fleet = Fleet::start(short_silence_options(2)).await;
     let contents: Vec<String> = (0..4).map(|index| format!("tokens=40 q{index}")).collect();
-    let answers = expected(&fleet, &contents).await;
-    let (_proxy, control) = proxy_engine(&fleet).await;
+    let answers = undisturbed_answers(&fleet, &contents).await;
+    let (_proxy, control) = proxy_first_engine(&fleet).await;
     let faults = [
         json!({ "cut_after_bytes": 3000 }),
         json!({ "delay_ms": 15 }),
@@ -67,11 +75,11 @@
         json!({ "silence_open": true }),
         json!({ "refuse": true }),
     ];
-    let mut complete = 0;
+    let mut complete_count = 0;
     for fault in faults {
         fleet.http.put_json(&control, "/v1/faults", &json!({})).await;
         let calls = contents.iter().zip(fleet.nodes.iter().cycle()).map(|(content, node)| async {
-            (content.clone(), stream(&fleet, node, content).await)
+            (content.clone(), stream_completion(&fleet, node, content).await)
         });
         let inject = async {
             fleet.pause(std::time::Duration::from_millis(80)).await;
@@ -80,23 +88,28 @@
         let (results, ()) =
             futures_util::future::join(futures_util::future::join_all(calls), inject).await;
         for (content, result) in results {
-            let (text, whole) = result.expect("an answer or an error event");
+            let (text, is_complete) = result.expect("an answer or an error event");
             let answer = &answers[&content];
-            assert!(answer.starts_with(&text), "{fault}: {text:?} is no part of {answer:?}");
-            assert!(!whole || text == *answer, "{fault}: a short answer was marked complete");
-            complete += usize::from(whole);
+            assert!(
+                answer.starts_with(&text),
+                "{fault}: {text:?} is not the beginning of {answer:?}"
+            );
+            assert!(!is_complete || text == *answer, "{fault}: a short answer was marked complete");
+            complete_count += usize::from(is_complete);
         }
     }
-    assert!(complete >= 8, "only {complete} of 20 answers were complete");
+    assert!(complete_count >= 8, "only {complete_count} of 20 answers were complete");
 }
 
+/// Guards against streams that wait forever for a connection that stays open but carries no more
+/// data.
 #[ntex::test]
-async fn a_silent_connection_is_found_and_replaced() {
-    let fleet = Fleet::start(quick_options(1)).await;
+async fn stream_on_a_silent_connection_is_resumed() {
+    let fleet = Fleet::start(short_silence_options(1)).await;
     let content = "tokens=60 silent".to_owned();
-    let answers = expected(&fleet, std::slice::from_ref(&content)).await;
-    let (_proxy, control) = proxy_engine(&fleet).await;
-    let call = stream(&fleet, &fleet.nodes[0], &content);
+    let answers = undisturbed_answers(&fleet, std::slice::from_ref(&content)).await;
+    let (_proxy, control) = proxy_first_engine(&fleet).await;
+    let call = stream_completion(&fleet, &fleet.nodes[0], &content);
     let inject = async {
         fleet.pause(std::time::Duration::from_millis(100)).await;
         fleet.http.put_json(&control, "/v1/faults", &json!({ "silence_open": true })).await;
@@ -107,12 +120,14 @@
     let metrics = fleet.http.send(metrics, "").await.expect("metrics").body;
     assert!(
         metrics.contains("retries_total{reason=\"stream_resumed\"} 1"),
-        "not resumed: {metrics}"
+        "the stream was not resumed: {metrics}"
     );
 }
 
+/// Guards against a stream that repeats, skips or mixes text when the owner of its program is
+/// killed and another node resumes it.
 #[ntex::test]
-async fn a_killed_owner_in_the_middle_of_a_stream_mixes_nothing() {
+async fn stream_of_a_killed_owner_matches_the_recorded_answer() {
     let engine_args = ["--token-interval-ms", "20"].map(str::to_owned).to_vec();
     let options = FleetOptions { nodes: 3, engine_args, ..FleetOptions::default() };
     let mut fleet = Fleet::start(options).await;
@@ -133,20 +148,21 @@
         .await;
     fleet.pause(std::time::Duration::from_millis(300)).await;
     fleet.nodes[2].process.kill();
-    let reply = pending.await.expect("task ends").expect("answer");
+    let reply = pending.await.expect("task ends").expect("the node answers");
     let history = eventually("the call is recorded", async || {
         let history = fleet.history(&fleet.nodes[1], ALPHA_KEY, &program).await;
         (history.status == 200).then(|| history.json())
     })
     .await;
-    let whole = history["calls"][0]["answer"].as_str().unwrap_or_default().to_owned();
-    let whole: Value = serde_json::from_str(&whole).expect("the successor recorded the answer");
-    let whole = whole["choices"][0]["message"]["content"].as_str().expect("text").to_owned();
+    let recorded = history["calls"][0]["answer"].as_str().unwrap_or_default().to_owned();
+    let recorded: Value =
+        serde_json::from_str(&recorded).expect("the successor recorded the answer");
+    let recorded = recorded["choices"][0]["message"]["content"].as_str().expect("text").to_owned();
     let parts = reply.body.lines().filter_map(|line| line.strip_prefix("data: {"));
     let text: String = parts
         .filter_map(|data| serde_json::from_str::<Value>(&format!("{{{data}")).ok())
         .filter_map(|chunk| Some(chunk["choices"][0]["delta"]["content"].as_str()?.to_owned()))
         .collect();
-    assert_eq!(text, whole);
+    assert_eq!(text, recorded);
     assert!(reply.body.ends_with("data: [DONE]\n\n"), "{}", reply.body);
 }
