--- a/crates/daemon/src/front/connection/caller.rs
+++ b/crates/daemon/src/front/connection/caller.rs
@@ -107,11 +107,11 @@
     let _busy = node.caller_requests.track();
     let body_max_bytes = node.table().limits().body_max_bytes;
     match payload {
-        PayloadType::None => serve_buffered(node, io, codec, head, Bytes::new(), arrived_at).await,
+        PayloadType::None => handle_request(node, io, codec, head, Bytes::new(), arrived_at).await,
         PayloadType::Payload(decoder) | PayloadType::Stream(decoder) => {
             let body = read_body(io, &decoder, &head, body_max_bytes).await;
             let refusal = match body {
-                Ok(body) => return serve_buffered(node, io, codec, head, body, arrived_at).await,
+                Ok(body) => return handle_request(node, io, codec, head, body, arrived_at).await,
                 Err(BodyError::Connection(error)) => return Err(error),
                 Err(BodyError::TooLong) => Refusal::not_run(
                     RefusalKind::BodyTooLarge,
@@ -148,7 +148,7 @@
 }
 
 /// Serves a completely read request; returns whether the connection may be reused.
-async fn serve_buffered(
+async fn handle_request(
     node: &Rc<FrontNode>,
     io: &Io,
     codec: &Codec,
@@ -158,7 +158,7 @@
 ) -> io::Result<bool> {
     let request = CallerRequest { head, body, arrived_at };
     let mut responder = Responder::new(io, codec);
-    if node.stop.is_stopping() || node.reach.is_isolated() {
+    if node.stop.is_stopping() || node.store_reachability.is_isolated() {
         responder.close_after_response();
     }
     let is_answered = tokio::select! {
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -33,7 +33,7 @@
 /// Time after a read of the nodes table for the other nodes' reports to arrive.
 ///
 /// The node becomes ready for callers only after the first such wait.
-const INITIAL_REPORTS_WAIT: Duration = Duration::from_millis(250);
+const REPORTS_WAIT: Duration = Duration::from_millis(250);
 /// Delay after a failed read or write of the nodes table.
 const MEMBERSHIP_RETRY_DELAY: Duration = Duration::from_millis(400);
 
@@ -91,7 +91,7 @@
     /// Returns the identifier of this node in claims.
     #[must_use]
     pub fn claimant(&self) -> ClaimantId {
-        claimant_of(self.incarnation)
+        claimant_id(self.incarnation)
     }
 
     /// Receives datagrams until the process ends.
@@ -142,11 +142,12 @@
         let now = node.clock.monotonic_now();
         let members: Vec<SocketAddr> = {
             let limiter = node.limiter.borrow();
-            for (member, _) in limiter.members(now).filter(|(_, is_heard)| !is_heard) {
+            for (member, _) in limiter.members(now).filter(|(_, is_reporting)| !is_reporting) {
                 node.placement.borrow_mut().forget_peer(member);
             }
-            let heard = limiter.members(now).filter(|(_, is_heard)| *is_heard).count();
-            node.metrics.members_heard.set(i64::try_from(heard).unwrap_or(i64::MAX));
+            let reporting_count =
+                limiter.members(now).filter(|(_, is_reporting)| *is_reporting).count();
+            node.metrics.members_heard.set(i64::try_from(reporting_count).unwrap_or(i64::MAX));
             limiter.members(now).filter_map(|(member, _)| member.parse().ok()).collect()
         };
         let report = Report {
@@ -155,7 +156,7 @@
             in_flight: node.placement.borrow().own_load(),
             avoided: node.placement.borrow().own_avoided(now),
             is_leaving,
-            has_store: !node.reach.is_unreachable() && node.table().version() > 0,
+            has_store: !node.store_reachability.is_unreachable() && node.table().version() > 0,
         };
         match postcard::to_allocvec(&Message::Report(report)) {
             Ok(bytes) => {
@@ -175,8 +176,8 @@
         loop {
             match self.refresh_membership(node).await {
                 Ok(()) => {
-                    tokio::time::sleep(INITIAL_REPORTS_WAIT).await;
-                    node.note_members_known();
+                    tokio::time::sleep(REPORTS_WAIT).await;
+                    node.record_members_read();
                     tokio::time::sleep(MEMBERSHIP_INTERVAL).await;
                 }
                 Err(error) => {
@@ -231,9 +232,10 @@
             }
         };
         let incarnations = self.incarnations.borrow();
-        let known = incarnations.iter().map(|(address, known)| (address, claimant_of(*known)));
+        let claimants =
+            incarnations.iter().map(|(address, incarnation)| (address, claimant_id(*incarnation)));
         let mut is_any_asked = false;
-        for (address, _) in known.filter(|(_, claimant)| holders.contains(claimant)) {
+        for (address, _) in claimants.filter(|(_, claimant)| holders.contains(claimant)) {
             match self.socket.try_send_to(&bytes, *address) {
                 Ok(_) => is_any_asked = true,
                 Err(error) => {
@@ -245,7 +247,7 @@
     }
 }
 
-fn claimant_of(incarnation: u64) -> ClaimantId {
+fn claimant_id(incarnation: u64) -> ClaimantId {
     format!("{incarnation:016x}")
 }
 
@@ -255,7 +257,7 @@
     if report.is_leaving {
         log::info!("event=member_left member={member}");
         node.limiter.borrow_mut().forget(&member);
-        node.reach.update_relay(sender, false, Duration::ZERO);
+        node.store_reachability.update_relay(sender, false, Duration::ZERO);
         node.placement.borrow_mut().forget_peer(&member);
         return;
     }
@@ -265,7 +267,7 @@
         limiter.note_report(&member, report.incarnation, admitted, now);
         limiter.members(now).count()
     };
-    node.reach.update_relay(sender, report.has_store, silence_timeout(members));
+    node.store_reachability.update_relay(sender, report.has_store, silence_timeout(members));
     let mut placement = node.placement.borrow_mut();
     placement.set_peer_load(&member, report.in_flight);
     placement.set_peer_avoided(&member, report.avoided);
--- a/crates/daemon/src/front/connection/reach.rs
+++ b/crates/daemon/src/front/connection/reach.rs
@@ -36,9 +36,9 @@
     /// Time of the first failure since the last successful direct call.
     failing_since: Cell<Option<Duration>>,
     consecutive_failures: Cell<u32>,
-    probed_at: Cell<Duration>,
+    last_direct_call_at: Cell<Duration>,
     /// State that was last logged.
-    is_logged_unreachable: Cell<bool>,
+    was_logged_unreachable: Cell<bool>,
     /// Nodes that reach the store, with the times at which their reports expire.
     relays: RefCell<HashMap<SocketAddr, Duration>>,
 }
@@ -51,8 +51,8 @@
             clock,
             failing_since: Cell::new(None),
             consecutive_failures: Cell::new(0),
-            probed_at: Cell::new(Duration::ZERO),
-            is_logged_unreachable: Cell::new(false),
+            last_direct_call_at: Cell::new(Duration::ZERO),
+            was_logged_unreachable: Cell::new(false),
             relays: RefCell::default(),
         }
     }
@@ -75,9 +75,9 @@
     }
 
     /// Records whether another node reaches the store; a positive report expires after `valid_for`.
-    pub fn update_relay(&self, member: SocketAddr, has_store: bool, valid_for: Duration) {
+    pub fn update_relay(&self, member: SocketAddr, reaches_store: bool, valid_for: Duration) {
         let mut relays = self.relays.borrow_mut();
-        if has_store {
+        if reaches_store {
             relays.insert(member, self.clock.monotonic_now() + valid_for);
         } else {
             relays.remove(&member);
@@ -96,7 +96,7 @@
             }
         }
         let is_unreachable = self.is_unreachable();
-        if self.is_logged_unreachable.replace(is_unreachable) != is_unreachable {
+        if self.was_logged_unreachable.replace(is_unreachable) != is_unreachable {
             let relay = self.relay().map_or("-".to_owned(), |relay| relay.to_string());
             log::warn!("event=store_reach is_lost={is_unreachable} helper={relay}");
         }
@@ -110,9 +110,9 @@
     /// Returns whether the next call should be sent to the store directly, and records the attempt.
     fn should_try_direct(&self) -> bool {
         let now = self.clock.monotonic_now();
-        let is_due = now >= self.probed_at.get() + PROBE_INTERVAL;
+        let is_due = now >= self.last_direct_call_at.get() + PROBE_INTERVAL;
         if !self.is_isolated() || is_due {
-            self.probed_at.set(now);
+            self.last_direct_call_at.set(now);
             return true;
         }
         false
@@ -130,20 +130,20 @@
 /// Transport that fails over to another node when direct calls to the store fail.
 pub struct FailoverTransport {
     direct: Rc<HttpTransport>,
-    reach: Rc<StoreReachability>,
+    reachability: Rc<StoreReachability>,
     metrics: Rc<FrontMetrics>,
-    relays: RefCell<HashMap<SocketAddr, Rc<HttpTransport>>>,
+    relay_transports: RefCell<HashMap<SocketAddr, Rc<HttpTransport>>>,
 }
 
 impl FailoverTransport {
-    /// Creates a transport that uses `direct` and, when it fails, the nodes known to `reach`.
+    /// Creates a transport that uses `direct` and, when it fails, the nodes known to `reachability`.
     #[must_use]
     pub fn new(
         direct: Rc<HttpTransport>,
-        reach: Rc<StoreReachability>,
+        reachability: Rc<StoreReachability>,
         metrics: Rc<FrontMetrics>,
     ) -> Self {
-        Self { direct, reach, metrics, relays: RefCell::default() }
+        Self { direct, reachability, metrics, relay_transports: RefCell::default() }
     }
 
     async fn call_relay(
@@ -153,9 +153,9 @@
     ) -> Result<StoreReply, RowStoreError> {
         self.metrics.store_calls_relayed.inc();
         let transport = {
-            let mut relays = self.relays.borrow_mut();
+            let mut relay_transports = self.relay_transports.borrow_mut();
             let new = || Rc::new(HttpTransport::new(relay, Rc::clone(&self.metrics)));
-            Rc::clone(relays.entry(relay).or_insert_with(new))
+            Rc::clone(relay_transports.entry(relay).or_insert_with(new))
         };
         let reply = transport.call(request).await?;
         if reply.status == ANSWER_LOST_STATUS {
@@ -169,23 +169,23 @@
 #[async_trait(?Send)]
 impl Transport for FailoverTransport {
     async fn call(&self, request: StoreRequest) -> Result<StoreReply, RowStoreError> {
-        if self.reach.should_try_direct() {
+        if self.reachability.should_try_direct() {
             let result = self.direct.call(request.clone()).await;
             let is_failed = match &result {
                 Ok(reply) => matches!(reply.status, 429 | 503),
                 Err(_) => true,
             };
-            self.reach.record_direct_call(!is_failed);
+            self.reachability.record_direct_call(!is_failed);
             // A write that may have taken effect must not be sent again.
             let may_have_written = request.method != Method::GET
                 && matches!(result, Err(RowStoreError::AnswerLost { .. }));
-            if !is_failed || may_have_written || !self.reach.should_fail_over() {
+            if !is_failed || may_have_written || !self.reachability.should_fail_over() {
                 return result;
             }
-            let Some(relay) = self.reach.relay() else { return result };
+            let Some(relay) = self.reachability.relay() else { return result };
             return self.call_relay(relay, request).await;
         }
-        match self.reach.relay() {
+        match self.reachability.relay() {
             Some(relay) => self.call_relay(relay, request).await,
             None => self.direct.call(request).await,
         }
--- a/crates/daemon/src/front/connection/responder.rs
+++ b/crates/daemon/src/front/connection/responder.rs
@@ -33,19 +33,19 @@
     codec: &'a Codec,
     is_head_sent: bool,
     is_complete: bool,
-    closes: bool,
+    closes_connection: bool,
 }
 
 impl<'a> Responder<'a> {
     /// Creates a responder to the request that was last read from `io`.
     #[must_use]
     pub fn new(io: &'a Io, codec: &'a Codec) -> Self {
-        Self { io, codec, is_head_sent: false, is_complete: false, closes: false }
+        Self { io, codec, is_head_sent: false, is_complete: false, closes_connection: false }
     }
 
     /// Closes the connection after this response.
     pub fn close_after_response(&mut self) {
-        self.closes = true;
+        self.closes_connection = true;
     }
 
     /// Returns whether the response head was sent.
@@ -68,13 +68,14 @@
     pub fn send_head(
         &mut self,
         status: StatusCode,
-        answer: &HeaderMap,
+        received: &HeaderMap,
         length: BodyLength,
     ) -> io::Result<()> {
-        let connection = answer.get(http::header::CONNECTION).and_then(|value| value.to_str().ok());
+        let connection =
+            received.get(http::header::CONNECTION).and_then(|value| value.to_str().ok());
         let connection = connection.unwrap_or_default();
         let mut response = Response::new(status).drop_body();
-        for (name, value) in answer {
+        for (name, value) in received {
             if headers::is_returned(name.as_str(), connection)
                 && let Ok(value) = HeaderValue::from_bytes(value.as_bytes())
             {
@@ -85,7 +86,7 @@
     }
 
     fn encode_head(&mut self, mut response: Response<()>, length: BodyLength) -> io::Result<()> {
-        if self.closes {
+        if self.closes_connection {
             response.head_mut().set_connection_type(ConnectionType::Close);
         }
         let size = match length {
@@ -136,8 +137,9 @@
         if let Ok(value) = HeaderValue::from_str(request_id) {
             fields.insert(REQUEST_ID, value);
         }
-        if let Some(pause_ms) = refusal.retry_after_ms
-            && let Ok(value) = HeaderValue::from_str(&seconds(Duration::from_millis(pause_ms)))
+        if let Some(retry_after_ms) = refusal.retry_after_ms
+            && let Ok(value) =
+                HeaderValue::from_str(&seconds(Duration::from_millis(retry_after_ms)))
         {
             fields.insert(RETRY_AFTER, value);
         }
--- a/crates/daemon/src/front/connection/status.rs
+++ b/crates/daemon/src/front/connection/status.rs
@@ -27,13 +27,13 @@
         if payload != PayloadType::None {
             break;
         }
-        let (status, body) = answer(&node, request.path());
+        let (status, body) = response_for(&node, request.path());
         listener::send_response(&io, &codec, status, "text/plain", &body).await?;
     }
     io.shutdown().await
 }
 
-fn answer(node: &FrontNode, path: &str) -> (StatusCode, Vec<u8>) {
+fn response_for(node: &FrontNode, path: &str) -> (StatusCode, Vec<u8>) {
     match path {
         READY_PATH if node.is_ready() => (StatusCode::OK, Vec::new()),
         READY_PATH => (StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
--- a/crates/daemon/src/front/connection/store.rs
+++ b/crates/daemon/src/front/connection/store.rs
@@ -123,7 +123,7 @@
 #[async_trait(?Send)]
 impl Transport for HttpTransport {
     async fn call(&self, request: StoreRequest) -> Result<StoreReply, RowStoreError> {
-        let began_at = Instant::now();
+        let started_at = Instant::now();
         self.metrics.store_calls.with_label_values(&[operation(&request.path)]).inc();
         let time_limit = request.wait + self.response_timeout.get().min(request.timeout);
         let result = timeout(time_limit, self.exchange(&request)).await.unwrap_or_else(|_| {
@@ -131,7 +131,7 @@
             let detail = format!("no answer within {} ms", time_limit.as_millis());
             Err(RowStoreError::AnswerLost { detail })
         });
-        let taken = began_at.elapsed();
+        let taken = started_at.elapsed();
         if request.wait.is_zero() {
             self.metrics.store_seconds.observe(taken.as_secs_f64());
             if result.is_ok() {
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -68,7 +68,7 @@
         log::error!("event=start_failed cause=\"{error}\"");
         eprintln!("error: {error}; check the listen addresses");
     }
-    log_buffer.flush();
+    log_buffer.write_pending();
     if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
@@ -83,9 +83,12 @@
     let relay_listener = TcpListener::bind(peer_address).await?;
     let clock = FrontClock::new();
     let direct = Rc::new(HttpTransport::new(settings.store_address, Rc::clone(&metrics)));
-    let reach = Rc::new(StoreReachability::new(clock.clone()));
-    let transport =
-        FailoverTransport::new(Rc::clone(&direct), Rc::clone(&reach), Rc::clone(&metrics));
+    let store_reachability = Rc::new(StoreReachability::new(clock.clone()));
+    let transport = FailoverTransport::new(
+        Rc::clone(&direct),
+        Rc::clone(&store_reachability),
+        Rc::clone(&metrics),
+    );
     let store = StoreClient::new(Rc::new(transport), STORE_TIMEOUT);
     log::info!(
         "event=started vm={} zone={} callers={} store={} memory_max_bytes={} version={}",
@@ -96,7 +99,13 @@
         settings.memory_max_bytes,
         env!("CARGO_PKG_VERSION"),
     );
-    let node = Rc::new(FrontNode::new(settings, clock, (store, reach), metrics, Rc::clone(&peers)));
+    let node = Rc::new(FrontNode::new(
+        settings,
+        clock,
+        (store, store_reachability),
+        metrics,
+        Rc::clone(&peers),
+    ));
     tokio::task::spawn_local(follow::follow_config(Rc::clone(&node)));
     tokio::task::spawn_local(follow::follow_servers(Rc::clone(&node)));
     tokio::task::spawn_local(caller::accept(Rc::clone(&node), callers));
@@ -108,7 +117,7 @@
     tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(LOG_FLUSH_INTERVAL).await;
-            logs.flush();
+            logs.write_pending();
         }
     });
     wait_for_stop(&args.settings, &node).await?;
@@ -161,7 +170,7 @@
 /// Shuts down gracefully: serves requests in flight and those that still arrive, within the grace
 /// period.
 async fn shut_down(node: &Rc<FrontNode>, peers: &Peers) {
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     log::info!(
         "event=stop_begun connections={} requests={}",
         node.caller_connections.get(),
@@ -170,9 +179,9 @@
     node.stop.leave();
     tokio::time::sleep(STOP_IDLE_CLOSE_DELAY).await;
     node.stop.close_idle();
-    let deadline = begun_at + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
+    let deadline = started_at + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
     while Instant::now() < deadline {
-        if node.caller_requests.get() == 0 && begun_at.elapsed() >= STOP_DURATION_MIN {
+        if node.caller_requests.get() == 0 && started_at.elapsed() >= STOP_DURATION_MIN {
             break;
         }
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
@@ -182,7 +191,7 @@
     peers.announce_leaving(node).await;
     log::info!(
         "event=stopped elapsed_ms={} connections={} requests={}",
-        begun_at.elapsed().as_millis(),
+        started_at.elapsed().as_millis(),
         node.caller_connections.get(),
         node.caller_requests.get()
     );
--- a/crates/daemon/src/front/process/logs.rs
+++ b/crates/daemon/src/front/process/logs.rs
@@ -26,7 +26,7 @@
 
 impl LogBuffer {
     /// Writes as many bytes as standard output accepts without blocking.
-    pub fn flush(&self) {
+    pub fn write_pending(&self) {
         let stdout = io::stdout();
         let zero_timeout = Timespec { tv_sec: 0, tv_nsec: 0 };
         loop {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Starts logging into a buffer that [`LogBuffer::flush`] empties.
+/// Starts logging into a buffer that [`LogBuffer::write_pending`] empties.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -44,7 +44,7 @@
     /// The platform's store.
     pub store: StoreClient,
     /// Reachability of the store, directly and through other nodes.
-    pub reach: Rc<StoreReachability>,
+    pub store_reachability: Rc<StoreReachability>,
     /// Backend servers in the platform's list.
     pub servers: RefCell<ServerList>,
     /// Load and recent failures of backend servers.
@@ -65,8 +65,8 @@
     pub caller_requests: ActiveCount,
     table: RefCell<Rc<RoutingTable>>,
     freshness: RefCell<Freshness>,
-    has_servers: Cell<bool>,
-    has_members: Cell<bool>,
+    has_read_servers: Cell<bool>,
+    has_read_members: Cell<bool>,
 }
 
 impl FrontNode {
@@ -75,7 +75,7 @@
     pub fn new(
         settings: NodeSettings,
         clock: FrontClock,
-        (store, reach): (StoreClient, Rc<StoreReachability>),
+        (store, store_reachability): (StoreClient, Rc<StoreReachability>),
         metrics: Rc<FrontMetrics>,
         peers: Rc<Peers>,
     ) -> Self {
@@ -88,7 +88,7 @@
         Self {
             metrics,
             store,
-            reach,
+            store_reachability,
             servers: RefCell::default(),
             placement: RefCell::default(),
             limiter: RefCell::default(),
@@ -100,8 +100,8 @@
             caller_requests: ActiveCount::default(),
             table: RefCell::default(),
             freshness: RefCell::new(Freshness::new(settings.key_withdrawal)),
-            has_servers: Cell::new(false),
-            has_members: Cell::new(false),
+            has_read_servers: Cell::new(false),
+            has_read_members: Cell::new(false),
             clock,
             settings,
         }
@@ -118,10 +118,10 @@
         self.table.replace(table);
     }
 
-    /// Records that the store had no newer configuration at `asked_at`.
-    pub fn prove_fresh(&self, asked_at: Duration) {
+    /// Records that the store had no newer configuration at `requested_at`.
+    pub fn confirm_config(&self, requested_at: Duration) {
         let was_fresh = self.freshness.borrow().is_fresh(self.clock.boot_now());
-        self.freshness.borrow_mut().confirm(asked_at);
+        self.freshness.borrow_mut().confirm(requested_at);
         if !was_fresh {
             log::info!("event=config_fresh version={}", self.table().version());
         }
@@ -180,18 +180,18 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.table().version() > 0
-            && self.has_servers.get()
-            && self.has_members.get()
+            && self.has_read_servers.get()
+            && self.has_read_members.get()
             && !self.stop.is_stopping()
-            && !self.reach.is_isolated()
+            && !self.store_reachability.is_isolated()
     }
 
     /// Records that the list of backend servers was read.
-    pub fn note_servers_read(&self) {
+    pub fn record_servers_read(&self) {
         let servers = self.servers.borrow();
         self.metrics.servers.set(gauge_value(servers.len()));
         self.metrics.servers_draining.set(gauge_value(servers.draining_count()));
-        self.has_servers.set(true);
+        self.has_read_servers.set(true);
     }
 
     /// Updates the gauges of the configuration's age and of open requests and connections.
@@ -203,15 +203,15 @@
     }
 
     /// Records that the list of the other nodes was read and that they had time to report.
-    pub fn note_members_known(&self) {
-        if !self.has_members.replace(true) {
+    pub fn record_members_read(&self) {
+        if !self.has_read_members.replace(true) {
             let covered = self.limiter.borrow().covered_share(self.clock.monotonic_now());
             log::info!("event=members_known covered_share={covered:.2}");
         }
     }
 
     /// Logs changes to the list of backend servers and drops the state of removed servers.
-    pub fn note_server_changes(&self, changes: &[ServerChange]) {
+    pub fn apply_server_changes(&self, changes: &[ServerChange]) {
         for change in changes {
             match change {
                 ServerChange::Seen(id) => log::info!("event=server_seen server={id}"),
@@ -242,9 +242,9 @@
                 Ok(Err(error)) => error.to_string(),
                 Err(_) => "the deadline passed".to_owned(),
             };
-            let is_retried = Instant::now() + delay < deadline;
-            log::warn!("event=turn_not_kept request={turn} cause=\"{cause}\" retried={is_retried}");
-            if !is_retried {
+            let will_retry = Instant::now() + delay < deadline;
+            log::warn!("event=turn_not_kept request={turn} cause=\"{cause}\" retried={will_retry}");
+            if !will_retry {
                 return false;
             }
             tokio::time::sleep(delay).await;
--- a/crates/daemon/src/front/request/admission.rs
+++ b/crates/daemon/src/front/request/admission.rs
@@ -12,12 +12,12 @@
 use dandelionfront_platform::headers;
 use http::{HeaderMap, HeaderValue, Method, header};
 
-use super::turn::{self, OpenTurn};
+use super::turn::{self, RunningTurn};
 use crate::front::connection::caller::CallerRequest;
 use crate::front::process::FrontNode;
 
 /// Deadline of requests that set none; the longest deadline that the documentation specifies.
-const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
+const TIME_LIMIT_DEFAULT: Duration = Duration::from_secs(30);
 
 /// A request that was admitted and may be sent to a backend server.
 pub struct Admitted {
@@ -42,7 +42,7 @@
     /// Time at which the request head was read.
     pub arrived_at: Instant,
     /// Set for turns with a token budget or a stored history.
-    pub turn: Option<OpenTurn>,
+    pub turn: Option<RunningTurn>,
     /// Placement key; requests with equal keys share prompts.
     pub placement_key: String,
     /// Token taken from the team's limit.
@@ -97,7 +97,7 @@
 }
 
 /// A request that was refused at admission.
-pub struct Refused {
+pub struct RefusedRequest {
     /// Request id; empty if the request had none.
     pub id: String,
     /// Program id, if the request named one.
@@ -107,14 +107,17 @@
 }
 
 /// Admits a request or refuses it.
-pub async fn admit(node: &Rc<FrontNode>, request: &CallerRequest) -> Result<Admitted, Refused> {
+pub async fn admit(
+    node: &Rc<FrontNode>,
+    request: &CallerRequest,
+) -> Result<Admitted, RefusedRequest> {
     let context = headers::decode_request(|name| {
         request.head.headers().get(name).and_then(|value| value.to_str().ok())
     });
     let id = context.id.clone();
     let program = context.program.as_ref().map(|program| program.id.clone());
     let result = admit_decoded(node, request, context).await;
-    result.map_err(|refusal| Refused { id, program, refusal })
+    result.map_err(|refusal| RefusedRequest { id, program, refusal })
 }
 
 async fn admit_decoded(
@@ -136,7 +139,7 @@
     let service = route.service_for(&context.id).cloned().ok_or_else(|| {
         Refusal::not_run(RefusalKind::NoBackend, "the route names no service; publish one")
     })?;
-    let time_limit = context.deadline.unwrap_or(DEADLINE_DEFAULT).min(route.timeout);
+    let time_limit = context.deadline.unwrap_or(TIME_LIMIT_DEFAULT).min(route.timeout);
     let deadline = request.arrived_at + time_limit;
     let team_name = team.as_ref().map(|team| team.name.as_str()).unwrap_or_default();
     let service_spec = table.service(&service);
@@ -230,9 +233,9 @@
         forwarded.insert(headers::TEAM, value);
     }
     if route.repeat.is_stream() {
-        let rank = team.and_then(|team| team.priority).unwrap_or(route.priority);
-        let priority = u64::from(rank) + ENGINE_PRIORITY_BASE;
-        forwarded.insert(headers::ENGINE_PRIORITY, priority.min(ENGINE_PRIORITY_MAX).into());
+        let priority = team.and_then(|team| team.priority).unwrap_or(route.priority);
+        let engine_priority = u64::from(priority) + ENGINE_PRIORITY_BASE;
+        forwarded.insert(headers::ENGINE_PRIORITY, engine_priority.min(ENGINE_PRIORITY_MAX).into());
     }
     forwarded
 }
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -17,7 +17,7 @@
 
 use super::admission::Admitted;
 use super::outbound::{self, ResponseKind};
-use super::{relay, stream};
+use super::{body, stream};
 use crate::front::connection::backend::{BackendConnection, SendOutcome};
 use crate::front::connection::responder::Responder;
 use crate::front::process::{FrontNode, RetryReason};
@@ -43,7 +43,7 @@
 }
 
 /// Result of relaying an answer.
-pub enum RelayOutcome {
+pub enum ForwardOutcome {
     /// The complete answer was sent to the caller.
     Complete,
     /// The answer ended early or was faulty, for the given cause.
@@ -63,7 +63,7 @@
     lost_count: u32,
     /// Id of the last event that the caller has.
     pub(super) last_event: Option<u64>,
-    busy_until: Instant,
+    busy_wait_until: Instant,
     /// Whether an attempt was sent to any server.
     is_sent: bool,
     /// Whether an event was sent to the caller.
@@ -96,7 +96,8 @@
     responder: &mut Responder<'_>,
 ) -> Result<(), Failure> {
     let now = Instant::now();
-    let busy_until = now + admitted.deadline.saturating_duration_since(now) / BUSY_WAIT_DIVISOR;
+    let busy_wait_until =
+        now + admitted.deadline.saturating_duration_since(now) / BUSY_WAIT_DIVISOR;
     let last_event = admitted.context.resume_after;
     let mut attempts = Attempts {
         node,
@@ -105,7 +106,7 @@
         may_have_run_on: Vec::new(),
         lost_count: 0,
         last_event,
-        busy_until,
+        busy_wait_until,
         is_sent: false,
         has_forwarded_event: false,
     };
@@ -131,7 +132,7 @@
         let mut connection = match self.connect(&server).await {
             Ok(connection) => connection,
             Err(error) => {
-                self.note_failure(&server, "connect", &error.to_string());
+                self.record_failure(&server, "connect", &error.to_string());
                 self.node.metrics.count_retry(RetryReason::BackendUnreachable);
                 self.excluded.push(server.id.clone());
                 return Ok(None);
@@ -142,7 +143,7 @@
             .map_err(|error| self.invalid_request(&error))?;
         let deadline = self.admitted.deadline.into();
         let sent_at = Instant::now();
-        self.note_sending(&server, time_left, connection.is_reused);
+        self.record_sending(&server, time_left, connection.is_reused);
         let Ok(outcome) = timeout_at(deadline, connection.send(request)).await else {
             self.mark_may_have_run(&server.id);
             return Err(self.deadline_failure());
@@ -151,7 +152,7 @@
             SendOutcome::Answered(response) => response,
             SendOutcome::NotSent(cause) => {
                 if !connection.is_reused {
-                    self.note_failure(&server, "send", &cause);
+                    self.record_failure(&server, "send", &cause);
                     self.excluded.push(server.id.clone());
                 }
                 self.node.metrics.count_retry(RetryReason::BackendUnreachable);
@@ -225,14 +226,14 @@
     fn pinned_server(&self) -> Option<&BackendId> {
         let server_count = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
         let last = self.may_have_run_on.last()?;
-        let is_listed = self.node.servers.borrow().ready_by_id(last).is_some();
-        (server_count >= self.admitted.route.attempts_max && is_listed).then_some(last)
+        let is_ready = self.node.servers.borrow().ready_by_id(last).is_some();
+        (server_count >= self.admitted.route.attempts_max && is_ready).then_some(last)
     }
 
-    /// Waits before all servers are tried again; refuses if there are none or if `busy_until`
+    /// Waits before all servers are tried again; refuses if there are none or if `busy_wait_until`
     /// would pass.
     async fn wait_for_server(&mut self) -> AttemptResult {
-        if self.excluded.is_empty() || Instant::now() + BUSY_RETRY_DELAY > self.busy_until {
+        if self.excluded.is_empty() || Instant::now() + BUSY_RETRY_DELAY > self.busy_wait_until {
             let message = "no backend server can take the request now; retry later";
             let refusal = Refusal::not_run(RefusalKind::NoBackend, message);
             return Err(self.failure_before_send(refusal.retry_after_ms(BUSY_RETRY_AFTER_MS)));
@@ -271,11 +272,11 @@
                     server.id,
                 );
                 if status == StatusCode::MISDIRECTED_REQUEST {
-                    self.note_failure(server, "other_server", "address used by another server");
+                    self.record_failure(server, "other_server", "address used by another server");
                 }
                 self.node.metrics.count_retry(RetryReason::BackendBusy);
                 self.excluded.push(server.id.clone());
-                if relay::discard(response).await {
+                if body::discard(response).await {
                     self.node.pool.put(server.address, connection);
                 }
                 Ok(None)
@@ -292,16 +293,16 @@
                 let outcome = if is_stream {
                     stream::forward_events(self, responder, response).await
                 } else {
-                    relay::forward_body(self, responder, response).await
+                    body::forward_body(self, responder, response).await
                 };
                 match outcome? {
-                    RelayOutcome::Complete => {
+                    ForwardOutcome::Complete => {
                         self.node.placement.borrow_mut().note_success(&server.id);
                         self.node.pool.put(server.address, connection);
                         self.log_answered(server, status, sent_at);
                         Ok(Some(Ok(())))
                     }
-                    RelayOutcome::Incomplete(cause) => {
+                    ForwardOutcome::Incomplete(cause) => {
                         drop(connection);
                         self.handle_lost_attempt(server, &cause)
                     }
@@ -312,13 +313,13 @@
 
     /// Retries or refuses after an attempt that may have run but got no complete answer.
     fn handle_lost_attempt(&mut self, server: &ServerEntry, cause: &str) -> AttemptResult {
-        self.note_failure(server, "answer", cause);
+        self.record_failure(server, "answer", cause);
         let server_count = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
-        let has_candidate = server_count < self.admitted.route.attempts_max
+        let has_server_left = server_count < self.admitted.route.attempts_max
             || self.node.servers.borrow().ready_by_id(&server.id).is_some();
         self.lost_count += 1;
         let has_attempts_left = self.lost_count < LOST_ATTEMPTS_MAX;
-        if self.admitted.route.repeat.may_repeat() && has_candidate && has_attempts_left {
+        if self.admitted.route.repeat.may_repeat() && has_server_left && has_attempts_left {
             self.node.metrics.count_retry(RetryReason::AttemptLost);
             self.excluded.clear();
             return Ok(None);
@@ -334,7 +335,7 @@
         }
     }
 
-    fn note_failure(&self, server: &ServerEntry, step: &str, cause: &str) {
+    fn record_failure(&self, server: &ServerEntry, step: &str, cause: &str) {
         let now = self.node.clock.monotonic_now();
         let pause = self.node.placement.borrow_mut().note_failure(&server.id, now);
         log::info!(
@@ -347,7 +348,7 @@
         );
     }
 
-    fn note_sending(&mut self, server: &ServerEntry, time_left: Duration, is_reused: bool) {
+    fn record_sending(&mut self, server: &ServerEntry, time_left: Duration, is_reused: bool) {
         let added = self.admitted.arrived_at.elapsed();
         if !std::mem::replace(&mut self.is_sent, true) {
             self.node.metrics.added_seconds.observe(added.as_secs_f64());
--- a/crates/daemon/src/front/request/relay.rs
+++ b/crates/daemon/src/front/request/body.rs
@@ -5,8 +5,8 @@
 use http_body_util::BodyExt as _;
 use hyper::body::{Body as _, Incoming};
 
-use super::attempt::{Attempts, Failure, RelayOutcome};
-use super::frames::next_data;
+use super::attempt::{Attempts, Failure, ForwardOutcome};
+use super::frames::next_chunk;
 use crate::front::connection::responder::{BodyLength, Responder};
 
 /// Largest answer that is read completely before its first byte is sent to the caller, so that a
@@ -32,15 +32,15 @@
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
     response: Response<Incoming>,
-) -> Result<RelayOutcome, Failure> {
+) -> Result<ForwardOutcome, Failure> {
     let (head, mut body) = response.into_parts();
     let mut buffered = BytesMut::new();
     let mut is_chunked = false;
     loop {
-        let data = match next_data(&mut body, attempts.admitted.deadline).await {
+        let data = match next_chunk(&mut body, attempts.admitted.deadline).await {
             Ok(Some(data)) => data,
             Ok(None) => break,
-            Err(cause) => return Ok(RelayOutcome::Incomplete(cause)),
+            Err(cause) => return Ok(ForwardOutcome::Incomplete(cause)),
         };
         buffered.extend_from_slice(&data);
         if buffered.len() > BUFFERED_MAX_BYTES {
@@ -65,7 +65,7 @@
             .map_err(Failure::CallerGone)?;
     }
     send_rest(responder, rest).await?;
-    Ok(RelayOutcome::Complete)
+    Ok(ForwardOutcome::Complete)
 }
 
 async fn send_rest(responder: &mut Responder<'_>, rest: Bytes) -> Result<(), Failure> {
--- a/crates/daemon/src/front/request/frames.rs
+++ b/crates/daemon/src/front/request/frames.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// Returns the cause if the body cannot be read further or the deadline has passed.
-pub async fn next_data(body: &mut Incoming, deadline: Instant) -> Result<Option<Bytes>, String> {
+pub async fn next_chunk(body: &mut Incoming, deadline: Instant) -> Result<Option<Bytes>, String> {
     loop {
         match timeout_at(deadline.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
--- a/crates/daemon/src/front/request/mod.rs
+++ b/crates/daemon/src/front/request/mod.rs
@@ -2,9 +2,9 @@
 
 mod admission;
 mod attempt;
+mod body;
 mod frames;
 mod outbound;
-mod relay;
 mod stream;
 mod turn;
 
@@ -13,7 +13,7 @@
 
 use dandelionfront_coordination::Refusal;
 
-use self::admission::Refused;
+use self::admission::RefusedRequest;
 use crate::front::connection::Responder;
 use crate::front::connection::caller::CallerRequest;
 use crate::front::process::FrontNode;
@@ -30,7 +30,7 @@
 ) -> io::Result<()> {
     let admitted = match admission::admit(node, request).await {
         Ok(admitted) => admitted,
-        Err(Refused { id, program, refusal }) => {
+        Err(RefusedRequest { id, program, refusal }) => {
             return refuse(node, request, responder, (&id, program.as_deref()), &refusal).await;
         }
     };
--- a/crates/daemon/src/front/request/stream.rs
+++ b/crates/daemon/src/front/request/stream.rs
@@ -6,8 +6,8 @@
 use http::Response;
 use hyper::body::Incoming;
 
-use super::attempt::{Attempts, Failure, RelayOutcome};
-use super::frames::next_data;
+use super::attempt::{Attempts, Failure, ForwardOutcome};
+use super::frames::next_chunk;
 use crate::front::connection::responder::{BodyLength, Responder};
 
 /// Forwards a stream; only complete events in sequence reach the caller.
@@ -15,7 +15,7 @@
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
     response: Response<Incoming>,
-) -> Result<RelayOutcome, Failure> {
+) -> Result<ForwardOutcome, Failure> {
     let (head, mut body) = response.into_parts();
     if !responder.is_head_sent() {
         responder
@@ -24,22 +24,22 @@
     }
     let mut splitter = EventSplitter::default();
     loop {
-        let data = match next_data(&mut body, attempts.admitted.deadline).await {
+        let data = match next_chunk(&mut body, attempts.admitted.deadline).await {
             Ok(Some(data)) => data,
             Ok(None) => break,
-            Err(cause) => return Ok(RelayOutcome::Incomplete(cause)),
+            Err(cause) => return Ok(ForwardOutcome::Incomplete(cause)),
         };
         if !splitter.push(&data) {
-            return Ok(RelayOutcome::Incomplete("an event is too long".to_owned()));
+            return Ok(ForwardOutcome::Incomplete("an event is too long".to_owned()));
         }
         while let Some(event) = splitter.next_event() {
             if let Err(cause) = forward_event(attempts, responder, event).await? {
-                return Ok(RelayOutcome::Incomplete(cause));
+                return Ok(ForwardOutcome::Incomplete(cause));
             }
         }
     }
     if splitter.has_partial() {
-        return Ok(RelayOutcome::Incomplete("it ended within an event".to_owned()));
+        return Ok(ForwardOutcome::Incomplete("it ended within an event".to_owned()));
     }
     let deadline = attempts.admitted.deadline;
     if let Some(turn) = &mut attempts.admitted.turn
@@ -50,7 +50,7 @@
         return Err(Failure::Refused(refusal));
     }
     responder.finish().await.map_err(Failure::CallerGone)?;
-    Ok(RelayOutcome::Complete)
+    Ok(ForwardOutcome::Complete)
 }
 
 /// Forwards one event; returns a cause instead if its id does not follow the last one.
@@ -72,7 +72,7 @@
         attempts.node.metrics.first_event_seconds.observe(elapsed.as_secs_f64());
     }
     if let Some(turn) = &mut attempts.admitted.turn {
-        turn.note_event(&event.data);
+        turn.record_event(&event.data);
     }
     responder.send_chunk(Bytes::from(event.raw)).await.map_err(Failure::CallerGone)?;
     Ok(Ok(()))
--- a/crates/daemon/src/front/request/turn.rs
+++ b/crates/daemon/src/front/request/turn.rs
@@ -13,7 +13,7 @@
 use crate::front::process::FrontNode;
 
 /// A turn in progress; on drop, its token reservation is settled with the tokens delivered.
-pub struct OpenTurn {
+pub struct RunningTurn {
     node: Rc<FrontNode>,
     request: String,
     /// Program whose budget the turn draws on, and the tokens reserved.
@@ -35,7 +35,7 @@
 /// A request with its history and token reservation.
 pub struct PreparedRequest {
     /// Set if the request is a turn with a budget or with a stored history.
-    pub turn: Option<OpenTurn>,
+    pub turn: Option<RunningTurn>,
     /// Body to send, including the history.
     pub body: Bytes,
     /// Placement key.
@@ -64,7 +64,7 @@
     }
     let tokens_per_event =
         service.and_then(|spec| spec.engine.as_ref()).map_or(1, |engine| engine.tokens_per_event);
-    let mut turn = OpenTurn {
+    let mut turn = RunningTurn {
         node: Rc::clone(node),
         request: context.id.clone(),
         reserved: None,
@@ -144,9 +144,9 @@
     Refusal::not_run(kind, error.to_string())
 }
 
-impl OpenTurn {
+impl RunningTurn {
     /// Records an event that is sent to the caller.
-    pub fn note_event(&mut self, data: &[u8]) {
+    pub fn record_event(&mut self, data: &[u8]) {
         self.delivered_events += 1;
         if let Some(pending) = &mut self.pending {
             pending.output.extend_from_slice(data);
@@ -168,7 +168,7 @@
     }
 }
 
-impl Drop for OpenTurn {
+impl Drop for RunningTurn {
     fn drop(&mut self) {
         let Some((program, reserved_tokens)) = self.reserved.take() else { return };
         let node = Rc::clone(&self.node);
--- a/crates/daemon/src/front/version/follow.rs
+++ b/crates/daemon/src/front/version/follow.rs
@@ -6,7 +6,7 @@
 use dandelionfront_coordination::routing::RoutingTable;
 use dandelionfront_coordination::rows::{RowChange, RowStoreError};
 use dandelionfront_coordination::servers::{ServerChange, ServerEntry};
-use dandelionfront_platform::store::{CONFIG_KEY, FeedPage, OPERATOR_TABLE, SERVERS_TABLE};
+use dandelionfront_platform::store::{CONFIG_KEY, FeedReply, OPERATOR_TABLE, SERVERS_TABLE};
 use dandelionfront_platform::{config, servers};
 use rand::Rng as _;
 
@@ -62,7 +62,7 @@
                 for row in rows.iter().filter(|row| row.key == CONFIG_KEY) {
                     adopt_config(&node, row);
                 }
-                node.prove_fresh(requested_at);
+                node.confirm_config(requested_at);
             }
             Ok(None) => log::warn!("event=stale_answer table={OPERATOR_TABLE}"),
             Err(_) => delay_retry().await,
@@ -104,8 +104,8 @@
             Ok(Some(update)) => {
                 let mut changes = node.servers.borrow_mut().expire_lapsed(now);
                 changes.extend(apply_servers(&node, update, now));
-                node.note_server_changes(&changes);
-                node.note_servers_read();
+                node.apply_server_changes(&changes);
+                node.record_servers_read();
                 tokio::time::sleep(SERVERS_POLL_INTERVAL).await;
             }
             Ok(None) => log::warn!("event=stale_answer table={SERVERS_TABLE}"),
@@ -184,10 +184,10 @@
 ) -> Result<Option<Update>, RowStoreError> {
     if let Some(version) = cursor.version {
         match node.store.changes(table, version, wait).await? {
-            FeedPage::Changes { rows, version } => {
+            FeedReply::Changes { rows, version } => {
                 return Ok(cursor.advance(version).then_some(Update::Changes(rows)));
             }
-            FeedPage::HistoryGone => {
+            FeedReply::ChangesDropped => {
                 log::info!("event=history_gone table={table} version={version}");
                 cursor.version = None;
             }
