--- a/crates/daemon/src/front/connection/backend.rs
+++ b/crates/daemon/src/front/connection/backend.rs
@@ -24,12 +24,12 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which sent data may remain unacknowledged before the connection is closed.
 const TCP_USER_TIMEOUT_MS: u32 = 2_000;
-/// Idle time after which a connection is closed, unless the peer announced a shorter one.
+/// Maximum idle time of a connection.
 const IDLE_MAX: Duration = Duration::from_secs(4);
 /// Margin before the peer's idle timeout, so that no request is sent while the peer closes the
 /// connection.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_200);
-/// Largest response head and read buffer, in bytes.
+/// Maximum size of a response head and of the read buffer.
 const READ_BUFFER_MAX_BYTES: usize = 64 * 1024;
 
 /// An open connection; closed when dropped.
@@ -37,7 +37,7 @@
 pub struct BackendConnection {
     sender: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
-    /// Longest idle time after which the connection may be reused.
+    /// Maximum idle time; the connection is not reused after it.
     idle_max: Duration,
     /// Whether an earlier request was sent on the connection.
     pub is_reused: bool,
@@ -56,7 +56,7 @@
     Answered(Response<Incoming>),
     /// Nothing of the request was written.
     NotSent(String),
-    /// The connection failed after bytes may have been written.
+    /// The connection failed, and all or part of the request may have been written.
     Lost(String),
 }
 
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Limits the idle time to the peer's `Keep-Alive` timeout in seconds, less a margin.
+    /// Sets the maximum idle time to the shorter of the peer's `Keep-Alive` timeout and `IDLE_MAX`,
+    /// less `IDLE_MARGIN`.
     pub fn set_keep_alive(&mut self, seconds: u64) {
         self.idle_max = IDLE_MAX.min(Duration::from_secs(seconds)).saturating_sub(IDLE_MARGIN);
     }
@@ -126,7 +127,8 @@
 }
 
 impl BackendPool {
-    /// Takes the most recently used open connection, if it was idle for at most `idle_max`.
+    /// Takes the most recently used open connection, unless it was idle for longer than `idle_max`
+    /// or than its own limit.
     pub fn take(&self, address: SocketAddr, idle_max: Duration) -> Option<BackendConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
--- a/crates/daemon/src/front/connection/caller.rs
+++ b/crates/daemon/src/front/connection/caller.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Serves connections from callers.
 
 use std::future::poll_fn;
 use std::io;
@@ -33,7 +33,7 @@
     pub arrived_at: Instant,
 }
 
-/// Accepts connections of callers until the process ends.
+/// Accepts connections from callers until the process ends.
 pub async fn accept(node: Rc<FrontNode>, listener: TcpListener) {
     listener::accept("callers", listener, |stream| serve(Rc::clone(&node), stream)).await;
 }
@@ -52,7 +52,8 @@
     }
 }
 
-/// Waits for a request; returns `None` when the connection is to be closed.
+/// Waits for a request and refuses it if its head is malformed; returns `None` when the connection
+/// must be closed.
 async fn next_request(
     node: &Rc<FrontNode>,
     io: &Io,
@@ -95,7 +96,7 @@
     responder.refuse("", refusal).await
 }
 
-/// Serves one request; returns whether the connection may be reused.
+/// Reads the body of a request and serves it; returns whether the connection may be reused.
 async fn serve_request(
     node: &Rc<FrontNode>,
     io: &Io,
@@ -158,6 +159,7 @@
 ) -> io::Result<bool> {
     let request = CallerRequest { head, body, arrived_at };
     let mut responder = Responder::new(io, codec);
+    // The load balancer sends the caller's next connection to a node that is ready.
     if node.stop.is_stopping() || node.store_reachability.is_isolated() {
         responder.close_after_response();
     }
--- a/crates/daemon/src/front/connection/listener.rs
+++ b/crates/daemon/src/front/connection/listener.rs
@@ -1,4 +1,4 @@
-//! Functions shared by all listeners of a node.
+//! Accepting connections, reading bodies and sending short responses, for all listeners of a node.
 
 use std::io;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 /// Delay after a failed accept, usually caused by a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest time for which the rest of a refused body is read, about one round trip on a slow
+/// Maximum time for discarding the rest of a refused body, about one round trip on a slow
 /// connection.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 
@@ -53,13 +53,14 @@
 pub fn open(stream: TcpStream, head_max_bytes: usize) -> io::Result<(Io, Codec)> {
     let http = HttpServiceConfig::new()
         .set_keepalive(KeepAlive::Os)
+        // The codec rejects a request once it has buffered this many bytes.
         .set_max_buf_size(head_max_bytes.saturating_add(1));
     let config: SharedCfg = SharedCfg::new("HTTP").add(http).into();
     let io = ntex::rt::from_tcp_stream(stream.into_std()?, config.clone())?;
     Ok((io, Codec::new(0, config.get())))
 }
 
-/// Why a body could not be read.
+/// Failure to read a body.
 #[derive(Debug)]
 pub enum BodyError {
     /// The body exceeds the limit.
@@ -97,10 +98,10 @@
 
 /// Reads and discards the rest of a refused request's body.
 ///
-/// Closing a connection with unread bytes resets it, and the caller may lose the response.
+/// Closing a connection that has unread bytes resets it, and the caller may then lose the response.
 pub async fn discard_rest(io: &Io, decoder: &PayloadDecoder) {
     let rest = async { while let Ok(Some(PayloadItem::Chunk(_))) = io.recv(decoder).await {} };
-    // After the timeout, a caller that is still sending gets the reset.
+    // If the caller is still sending after the timeout, its connection is reset.
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, rest).await;
 }
 
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -1,8 +1,8 @@
 //! Datagrams between nodes.
 //!
-//! A report is small, replaces the previous one and is useless when late, so it is sent as a
-//! datagram; the next report makes up for a lost one. A request to release a claim has no response
-//! datagram: the receiver writes the release to the store, and the requesting node repeats the
+//! A report is small and useless when late, and the next one replaces it, so it is sent as a
+//! datagram and not resent when lost. A request to release a claim on a program's budget is not
+//! answered: the receiver writes the release to the store, and the requesting node repeats the
 //! request while it waits.
 
 use std::cell::RefCell;
@@ -22,15 +22,15 @@
 
 use crate::front::process::FrontNode;
 
-/// Largest datagram that is received.
+/// Size of the receive buffer; a longer datagram is truncated and logged as malformed.
 const DATAGRAM_MAX_BYTES: usize = 8 * 1024;
 /// Table in which nodes register their addresses.
 const NODES_TABLE: &str = "nodes";
 /// Time between two reads of the nodes table.
 ///
-/// Repeated reads let a node find others that started while it could not reach the store.
+/// Reads are repeated to find nodes that registered while this one could not reach the store.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_secs(15);
-/// Time after a read of the nodes table for the other nodes' reports to arrive.
+/// Wait after each read of the nodes table, in which the reports of the listed nodes arrive.
 ///
 /// The node becomes ready for callers only after the first such wait.
 const REPORTS_WAIT: Duration = Duration::from_millis(250);
@@ -54,7 +54,7 @@
 struct Report {
     /// Random identifier of the process; differs after a restart.
     incarnation: u64,
-    /// Requests and programs admitted since the start of the process, by team.
+    /// Admissions since the start of the process and tokens left, by team.
     admitted: Vec<(TeamHash, Admitted)>,
     /// Requests in flight, by hash of the backend server's identifier.
     in_flight: Vec<(u32, u32)>,
@@ -66,7 +66,7 @@
     has_store: bool,
 }
 
-/// The node's socket for messages to and from other nodes.
+/// The node's socket for messages to and from the other nodes.
 #[derive(Debug)]
 pub struct Peers {
     socket: UdpSocket,
@@ -142,6 +142,7 @@
         let now = node.clock.monotonic_now();
         let members: Vec<SocketAddr> = {
             let limiter = node.limiter.borrow();
+            // The load and the avoided servers of silent nodes are outdated.
             for (member, _) in limiter.members(now).filter(|(_, is_reporting)| !is_reporting) {
                 node.placement.borrow_mut().forget_peer(member);
             }
@@ -171,7 +172,8 @@
         members.len()
     }
 
-    /// Keeps this node registered and discovers other nodes until the process ends.
+    /// Keeps this node registered, discovers other nodes and removes the rows of silent ones, until
+    /// the process ends.
     pub async fn maintain_membership(&self, node: &FrontNode) {
         loop {
             match self.refresh_membership(node).await {
@@ -193,7 +195,8 @@
         let (mut rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         if !rows.iter().any(|row| row.key == own) {
             self.write_row(node, &own, 0, Some(node.settings.zone.as_bytes())).await?;
-            // Of two nodes that start at the same time, at least the later writer finds the other.
+            // Of two nodes that register at the same time, at least the one that writes last finds
+            // the other by this second read.
             (rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         }
         let now = node.clock.monotonic_now();
@@ -247,6 +250,7 @@
     }
 }
 
+/// Formats an incarnation as the node's identifier in claims.
 fn claimant_id(incarnation: u64) -> ClaimantId {
     format!("{incarnation:016x}")
 }
--- a/crates/daemon/src/front/connection/reach.rs
+++ b/crates/daemon/src/front/connection/reach.rs
@@ -1,8 +1,8 @@
 //! Failover for calls to the platform's store.
 //!
-//! A node whose calls the store refuses, or that cannot connect to the store, sends its calls
-//! through another node that can. Relayed responses come from the store itself, so they prove
-//! freshness in the same way as direct ones.
+//! When the store refuses a node's calls or cannot be reached, the node sends them through another
+//! node that reaches the store. Relayed responses come from the store itself, so they confirm that
+//! the configuration is current just as direct ones do.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -20,24 +20,24 @@
 use super::store::HttpTransport;
 use crate::front::process::{FrontClock, FrontMetrics};
 
-/// Time since the first of consecutive failures after which the store is considered unreachable;
-/// long enough for a few calls.
+/// The store is considered unreachable once direct calls have failed for this long, which is enough
+/// for a few calls.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(500);
 /// Consecutive failed direct calls after which a failed call is retried through another node.
 ///
-/// A single refusal may only mean that all nodes together exceed the store's rate limit.
+/// A single refusal may just mean that all nodes together exceed the store's rate limit.
 const FAILOVER_AFTER_FAILURES: u32 = 3;
-/// Time between two direct calls while calls are relayed.
+/// Minimum time between two direct calls while calls are relayed.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Whether this node reaches the store, and which other nodes do.
+/// Reachability of the store for this node, and the other nodes that reach it.
 pub struct StoreReachability {
     clock: FrontClock,
     /// Time of the first failure since the last successful direct call.
     failing_since: Cell<Option<Duration>>,
     consecutive_failures: Cell<u32>,
     last_direct_call_at: Cell<Duration>,
-    /// State that was last logged.
+    /// Whether the store was unreachable when its state was last logged.
     was_logged_unreachable: Cell<bool>,
     /// Nodes that reach the store, with the times at which their reports expire.
     relays: RefCell<HashMap<SocketAddr, Duration>>,
@@ -66,9 +66,9 @@
             .is_some_and(|failing_since| now >= failing_since + UNREACHABLE_AFTER)
     }
 
-    /// Returns whether other nodes reach the store and this one does not.
+    /// Returns whether this node does not reach the store but another node does.
     ///
-    /// Callers are then better served by the other nodes.
+    /// Callers are then better served by the other nodes, so this one reports that it is not ready.
     #[must_use]
     pub fn is_isolated(&self) -> bool {
         self.is_unreachable() && self.relay().is_some()
@@ -118,7 +118,7 @@
         false
     }
 
-    /// Returns a random node whose last report said that it reaches the store.
+    /// Returns a random node with an unexpired report that it reaches the store.
     fn relay(&self) -> Option<SocketAddr> {
         let now = self.clock.monotonic_now();
         let relays = self.relays.borrow();
@@ -136,7 +136,7 @@
 }
 
 impl FailoverTransport {
-    /// Creates a transport that uses `direct` and, when it fails, the nodes known to `reachability`.
+    /// Creates a transport that uses `direct` and, when it fails, a relay from `reachability`.
     #[must_use]
     pub fn new(
         direct: Rc<HttpTransport>,
@@ -172,6 +172,7 @@
         if self.reachability.should_try_direct() {
             let result = self.direct.call(request.clone()).await;
             let is_failed = match &result {
+                // Statuses with which the store refuses a call.
                 Ok(reply) => matches!(reply.status, 429 | 503),
                 Err(_) => true,
             };
--- a/crates/daemon/src/front/connection/relay_server.rs
+++ b/crates/daemon/src/front/connection/relay_server.rs
@@ -17,15 +17,19 @@
 use super::store::HttpTransport;
 use crate::consts::JSON;
 
-/// Status of a response to a call that may have taken effect although its answer was lost.
+/// Status which tells the calling node that the store's response was lost, so that the call may
+/// have taken effect.
 pub const ANSWER_LOST_STATUS: u16 = 504;
-/// Largest request head.
+/// Maximum size of a request head.
 const HEAD_MAX_BYTES: usize = 8 * 1024;
-/// Largest request body, above the store's own limit.
+/// Maximum size of a request body, above the store's own limit.
 const BODY_MAX_BYTES: usize = 2 * 1024 * 1024;
-/// Longest wait for the store's response; the calling node has a shorter timeout.
+/// Maximum wait for the store's response, in addition to `FEED_WAIT`; the calling node has a
+/// shorter timeout.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time for which the store may hold a call until a change occurs.
+/// Maximum time for which the store may hold a call until a change occurs.
+///
+/// It extends the timeout of every call, because the relay does not parse the requested wait.
 const FEED_WAIT: Duration = Duration::from_secs(2);
 
 /// Serves other nodes until the process ends.
@@ -64,6 +68,7 @@
             RowStoreError::AnswerLost { .. } | RowStoreError::Malformed { .. } => {
                 ANSWER_LOST_STATUS
             }
+            // The call had no effect.
             RowStoreError::Unreachable { .. } | RowStoreError::Refused { .. } => 503,
         };
         StoreReply { status, body: Bytes::from(error.to_string()) }
--- a/crates/daemon/src/front/connection/responder.rs
+++ b/crates/daemon/src/front/connection/responder.rs
@@ -43,24 +43,25 @@
         Self { io, codec, is_head_sent: false, is_complete: false, closes_connection: false }
     }
 
-    /// Closes the connection after this response.
+    /// Announces in the response head that the connection closes after the response.
     pub fn close_after_response(&mut self) {
         self.closes_connection = true;
     }
 
-    /// Returns whether the response head was sent.
+    /// Returns whether the response head was written to the connection's buffer.
     #[must_use]
     pub fn is_head_sent(&self) -> bool {
         self.is_head_sent
     }
 
-    /// Returns whether the complete response was sent.
+    /// Returns whether the complete response was written to the connection's buffer.
     #[must_use]
     pub fn is_complete(&self) -> bool {
         self.is_complete
     }
 
-    /// Sends the head of a backend server's response.
+    /// Sends a response head with a backend server's status and those of its headers that callers
+    /// receive.
     ///
     /// # Errors
     ///
--- a/crates/daemon/src/front/connection/status.rs
+++ b/crates/daemon/src/front/connection/status.rs
@@ -11,9 +11,8 @@
 use super::listener;
 use crate::front::process::FrontNode;
 
-/// Path at which the metrics are served.
 const METRICS_PATH: &str = "/metrics";
-/// Largest request head.
+/// Maximum size of a request head.
 const HEAD_MAX_BYTES: usize = 8 * 1024;
 
 /// Serves readiness checks and metrics until the process ends.
--- a/crates/daemon/src/front/connection/store.rs
+++ b/crates/daemon/src/front/connection/store.rs
@@ -17,14 +17,14 @@
 use crate::consts::JSON;
 use crate::front::process::metrics::FrontMetrics;
 
-/// Longest idle time after which a connection is reused.
+/// Maximum idle time of a connection that is reused.
 const REUSE_IDLE_MAX: Duration = Duration::from_secs(3);
 
-/// Shortest response timeout, several times the store's response time under low load.
+/// Lower bound of the response timeout; several times the store's response time under low load.
 const RESPONSE_TIMEOUT_MIN: Duration = Duration::from_millis(120);
 /// Response timeout as a multiple of the measured response time.
 const RESPONSE_TIMEOUT_FACTOR: u32 = 5;
-/// Part of the gap to its target, as a divisor, by which one response lowers the timeout.
+/// Each response lowers the timeout by its distance to the target divided by this.
 const RESPONSE_TIMEOUT_DECAY: u32 = 4;
 
 /// HTTP transport with its own connection pool.
@@ -38,7 +38,7 @@
 }
 
 impl HttpTransport {
-    /// Creates a transport to the store at `address`.
+    /// Creates a transport to the store, or to a relay for it, at `address`.
     #[must_use]
     pub fn new(address: SocketAddr, metrics: Rc<FrontMetrics>) -> Self {
         Self {
@@ -61,10 +61,11 @@
             let was_reused = connection.is_reused;
             let response = match connection.send(self.encode(request)?).await {
                 SendOutcome::Answered(response) => response,
-                // The peer may have closed an idle connection; this does not mean that the store
+                // The peer may have closed the idle connection, which does not mean that the store
                 // is unreachable.
                 SendOutcome::NotSent(_) if was_reused => continue,
                 SendOutcome::NotSent(detail) => return Err(RowStoreError::Unreachable { detail }),
+                // Reads can be sent again.
                 SendOutcome::Lost(_) if was_reused && request.method == Method::GET => continue,
                 SendOutcome::Lost(detail) => return Err(RowStoreError::AnswerLost { detail }),
             };
@@ -114,7 +115,7 @@
     }
 }
 
-/// Returns the last segment of a path without its query, which names the operation.
+/// Returns the operation of a call, which is the last segment of its path.
 fn operation(path: &str) -> &str {
     let path = path.split('?').next().unwrap_or_default();
     path.rsplit('/').next().unwrap_or_default()
@@ -132,6 +133,7 @@
             Err(RowStoreError::AnswerLost { detail })
         });
         let taken = started_at.elapsed();
+        // The duration of other calls includes the wait for a change.
         if request.wait.is_zero() {
             self.metrics.store_seconds.observe(taken.as_secs_f64());
             if result.is_ok() {
--- a/crates/daemon/src/front/mod.rs
+++ b/crates/daemon/src/front/mod.rs
@@ -1,9 +1,10 @@
-//! A node on the users' platform.
+//! The node on the users' platform, which forwards callers' requests to backend servers.
 //!
-//! The node is single-threaded: a request takes only a few short steps, and handing it to another
-//! thread costs more than any of them. Modules are split by lifetime: [`process`] for the node,
-//! [`version`] for the active configuration, [`connection`] for connections to callers, backend
-//! servers and the store, [`request`] for a single request.
+//! A node is single-threaded: a request takes only a few short steps, and handing it to another
+//! thread would cost more than any of them. Modules are split by the lifetime of their state:
+//! [`process`] for the node, [`version`] for the configuration and the list of backend servers,
+//! [`connection`] for connections to callers, backend servers, other nodes and the store,
+//! [`request`] for a single request.
 
 pub mod connection;
 pub mod process;
--- a/crates/daemon/src/front/process/clock.rs
+++ b/crates/daemon/src/front/process/clock.rs
@@ -38,7 +38,7 @@
         )
     }
 
-    /// Returns the monotonic clock as a trait object, as the coordination crate takes it.
+    /// Returns the monotonic clock for the coordination library.
     #[must_use]
     pub fn monotonic_clock(&self) -> Rc<dyn Clock> {
         Rc::new(self.monotonic)
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Startup, reload and graceful shutdown of a node.
+//! Startup and graceful shutdown of a node.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -23,25 +23,26 @@
 use crate::front::connection::{caller, relay_server, status};
 use crate::front::version::follow;
 
-/// Timeout of store calls; even a slow store answers within it.
+/// Upper bound of the response timeout of store calls; even a slow store answers within it.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval between writes of buffered log lines.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between housekeeping runs.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
-/// Idle time after which a program's budget is evicted; longer than programs pause between turns.
+/// Idle time after which a program's budget is evicted from the cache; longer than programs pause
+/// between turns.
 const PROGRAM_IDLE_MAX: Duration = Duration::from_secs(300);
-/// Longest time since the last turn of programs whose claims are released at shutdown: these
+/// At shutdown, claims of programs with a turn within this time are released, because these
 /// programs probably continue on other nodes.
 const STOP_RELEASE_WINDOW: Duration = Duration::from_secs(10);
 /// Delay between the stop signal and the closing of idle caller connections.
 const STOP_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1_200);
-/// Time after the stop signal during which new connections still arrive: the load balancer checks
-/// readiness every second and stops after two failed checks.
+/// Minimum duration of a shutdown: the load balancer checks readiness every second and sends new
+/// connections until two checks have failed.
 const STOP_DURATION_MIN: Duration = Duration::from_millis(3_200);
 /// Time reserved at the end of the platform's grace period for the final writes.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
-/// Interval between checks whether the shutdown can finish.
+/// Interval between checks of whether the shutdown can finish.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a node until it receives a stop signal.
@@ -144,7 +145,7 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT; on SIGHUP, checks the settings file for changes.
+/// Waits for SIGTERM or SIGINT; on SIGHUP, only logs whether the settings file has changed.
 async fn wait_for_stop(settings_path: &Path, node: &FrontNode) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -167,8 +168,8 @@
     }
 }
 
-/// Shuts down gracefully: serves requests in flight and those that still arrive, within the grace
-/// period.
+/// Shuts down gracefully: serves requests until none is in flight and new connections are no longer
+/// expected, or until shortly before the grace period ends.
 async fn shut_down(node: &Rc<FrontNode>, peers: &Peers) {
     let started_at = Instant::now();
     log::info!(
--- a/crates/daemon/src/front/process/logs.rs
+++ b/crates/daemon/src/front/process/logs.rs
@@ -11,7 +11,8 @@
 
 /// Capacity of the buffer; lines are dropped while a slow reader keeps it full.
 const BUFFER_MAX_BYTES: usize = 512 * 1024;
-/// Bytes that a pipe accepts without blocking once it is reported writable.
+/// Maximum size of one write; a pipe accepts this many bytes without blocking once it is reported
+/// writable.
 const WRITE_MAX_BYTES: usize = 4_096;
 
 #[derive(Debug, Default)]
@@ -20,7 +21,7 @@
     dropped_lines: u64,
 }
 
-/// Buffer of log lines that are not yet written; clones share it.
+/// Buffer of log lines that are not yet written, shared by all clones.
 #[derive(Debug, Clone, Default)]
 pub struct LogBuffer(Arc<Mutex<Buffer>>);
 
@@ -64,12 +65,13 @@
         Ok(line.len())
     }
 
+    /// Does nothing: [`LogBuffer::write_pending`] writes the lines, so that logging never blocks.
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
     }
 }
 
-/// Starts logging into a buffer that [`LogBuffer::write_pending`] empties.
+/// Starts logging into a buffer; [`LogBuffer::write_pending`] writes it to standard output.
 ///
 /// # Errors
 ///
--- a/crates/daemon/src/front/process/metrics.rs
+++ b/crates/daemon/src/front/process/metrics.rs
@@ -8,7 +8,7 @@
 /// Reason for a retry; also the label of the retry counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReason {
-    /// A backend server could not be reached.
+    /// No connection to a backend server could be opened, or nothing of the request was written.
     BackendUnreachable,
     /// A backend server refused the request without running it.
     BackendBusy,
@@ -34,21 +34,22 @@
     retries: IntCounterVec,
     /// Answers truncated because the request failed after their head was sent.
     pub answers_broken_off: IntCounter,
-    /// Callers that disconnected before the end of their answer.
+    /// Callers seen to disconnect before the end of their answer; failed writes are not counted.
     pub callers_gone: IntCounter,
     /// Connections opened to backend servers.
     pub backend_connections: IntCounter,
     /// Store calls made through another node.
     pub store_calls_relayed: IntCounter,
-    /// Store calls by operation.
+    /// Store calls by operation, including those sent through or for other nodes.
     pub store_calls: IntCounterVec,
-    /// Store calls without an answer.
+    /// Store calls without a response, including those sent through or for other nodes.
     pub store_failures: IntCounter,
-    /// Duration of store calls, in seconds.
+    /// Duration of store calls that do not wait for a change, in seconds.
     pub store_seconds: Histogram,
     /// Time that requests wait for a token of their team's limit, in seconds.
     pub limit_wait_seconds: Histogram,
-    /// Time from a request's arrival to its first attempt, in seconds.
+    /// Time from a request's arrival to its first attempt, including waits for the limit and the
+    /// store, in seconds.
     pub added_seconds: Histogram,
     /// Time from a turn's arrival to its first event, in seconds.
     pub first_event_seconds: Histogram,
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -1,4 +1,4 @@
-//! State shared by the requests and tasks of a node.
+//! State of a node.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,16 +24,18 @@
 use crate::front::connection::peers::Peers;
 use crate::front::connection::reach::StoreReachability;
 
-/// Shortest and longest `Retry-After` delay for callers over their team's limit.
+/// Minimum `Retry-After` delay for callers over their team's limit.
 const LIMIT_RETRY_AFTER_MIN_MS: u64 = 50;
+/// Maximum `Retry-After` delay for callers over their team's limit.
 const LIMIT_RETRY_AFTER_MAX_MS: u64 = 2_000;
-/// Divisor of the process's memory limit: cached turns may use an eighth of it.
+/// Cached turns may use the process's memory limit divided by this.
 const TURN_CACHE_MEMORY_DIVISOR: u64 = 8;
-/// Shortest and longest backoff between attempts to store a turn.
+/// First delay between attempts to store a turn; doubles with each attempt.
 const PERSIST_RETRY_DELAY_MIN: Duration = Duration::from_millis(50);
+/// Maximum delay between attempts to store a turn.
 const PERSIST_RETRY_DELAY_MAX: Duration = Duration::from_millis(400);
 
-/// Everything that the requests and tasks of a node share.
+/// State shared by the requests and tasks of a node.
 pub struct FrontNode {
     /// Settings of the process.
     pub settings: NodeSettings,
@@ -49,7 +51,7 @@
     pub servers: RefCell<ServerList>,
     /// Load and recent failures of backend servers.
     pub placement: RefCell<Placement>,
-    /// Limits of the teams, shared by all nodes.
+    /// Limits of the teams, which apply over all nodes.
     pub limiter: RefCell<UsageLimiter>,
     /// Token budgets of programs.
     pub ledgers: Ledgers,
@@ -65,7 +67,9 @@
     pub caller_requests: ActiveCount,
     table: RefCell<Rc<RoutingTable>>,
     freshness: RefCell<Freshness>,
+    /// Whether the list of backend servers was read at least once.
     has_read_servers: Cell<bool>,
+    /// Whether the list of the other nodes was read at least once and they had time to report.
     has_read_members: Cell<bool>,
 }
 
@@ -118,7 +122,7 @@
         self.table.replace(table);
     }
 
-    /// Records that the store had no newer configuration at `requested_at`.
+    /// Records that the store had no newer valid configuration at `requested_at`.
     pub fn confirm_config(&self, requested_at: Duration) {
         let was_fresh = self.freshness.borrow().is_fresh(self.clock.boot_now());
         self.freshness.borrow_mut().confirm(requested_at);
@@ -127,7 +131,8 @@
         }
     }
 
-    /// Checks that the configuration is recent enough to rely on its keys and routes.
+    /// Checks that the configuration was confirmed as current recently enough to rely on its keys
+    /// and routes.
     ///
     /// # Errors
     ///
@@ -138,6 +143,7 @@
         if freshness.is_fresh(now) {
             return Ok(());
         }
+        // -1 if never confirmed.
         let age_ms = freshness.age(now).map_or(-1, millis_i64);
         Err(Refusal::not_run(
             RefusalKind::ConfigStale,
@@ -145,8 +151,7 @@
         ))
     }
 
-    /// Takes a token from the limit of `team`; returns the delay before the request may
-    /// be sent.
+    /// Takes a token from the limit of `team`; returns the delay before the request may be sent.
     ///
     /// # Errors
     ///
@@ -171,7 +176,7 @@
         })
     }
 
-    /// Refunds the token of a request that was never sent.
+    /// Refunds the token of a request that no backend server may have run.
     pub fn refund_limit_token(&self, team: &str) {
         self.limiter.borrow_mut().refund(team_hash(team));
     }
@@ -186,7 +191,7 @@
             && !self.store_reachability.is_isolated()
     }
 
-    /// Records that the list of backend servers was read.
+    /// Records that the list of backend servers was read, and updates its gauges.
     pub fn record_servers_read(&self) {
         let servers = self.servers.borrow();
         self.metrics.servers.set(gauge_value(servers.len()));
@@ -226,8 +231,8 @@
 
     /// Stores a turn; returns whether the store accepted it before `deadline`.
     ///
-    /// The answer ends only after that: a caller that got the complete answer can rely on the turn,
-    /// whatever fails afterwards.
+    /// The answer is completed only after the turn is stored, so that a caller with a complete
+    /// answer can continue from the turn, whatever fails afterwards.
     pub async fn persist_turn(
         &self,
         turn: &str,
--- a/crates/daemon/src/front/process/stop.rs
+++ b/crates/daemon/src/front/process/stop.rs
@@ -1,4 +1,4 @@
-//! Signal of a graceful shutdown, and counters of the activity that it waits for.
+//! Graceful shutdown: the signal to connections, and counters of open connections and requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
     Closing,
 }
 
-/// Notifies the connections of a node that it shuts down.
+/// Notifies the connections of a node of its shutdown.
 #[derive(Debug)]
 pub struct StopSignal {
     phase: watch::Sender<Phase>,
@@ -33,7 +33,7 @@
         self.phase.send_replace(Phase::Leaving);
     }
 
-    /// Signals that idle connections are to be closed.
+    /// Signals that idle connections must be closed.
     pub fn close_idle(&self) {
         self.phase.send_replace(Phase::Closing);
     }
@@ -44,7 +44,7 @@
         *self.phase.borrow() >= Phase::Leaving
     }
 
-    /// Waits until idle connections are to be closed.
+    /// Waits until idle connections must be closed.
     pub async fn wait_for_idle_close(&self) {
         let mut phase = self.phase.subscribe();
         // `self` holds the sender, so waiting cannot fail.
@@ -52,7 +52,7 @@
     }
 }
 
-/// Number of active connections or requests; clones share it.
+/// Number of active connections or requests, shared by all clones.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveCount(Rc<Cell<usize>>);
 
@@ -68,7 +68,7 @@
         ActiveGuard(self.clone())
     }
 
-    /// Returns the number of live guards.
+    /// Returns the count.
     #[must_use]
     pub fn get(&self) -> usize {
         self.0.get()
--- a/crates/daemon/src/front/request/admission.rs
+++ b/crates/daemon/src/front/request/admission.rs
@@ -16,7 +16,8 @@
 use crate::front::connection::caller::CallerRequest;
 use crate::front::process::FrontNode;
 
-/// Deadline of requests that set none; the longest deadline that the documentation specifies.
+/// Time limit of requests without a deadline; the longest deadline that the platform's
+/// documentation specifies.
 const TIME_LIMIT_DEFAULT: Duration = Duration::from_secs(30);
 
 /// A request that was admitted and may be sent to a backend server.
@@ -41,27 +42,30 @@
     pub deadline: Instant,
     /// Time at which the request head was read.
     pub arrived_at: Instant,
-    /// Set for turns with a token budget or a stored history.
+    /// Set for turns with a token budget or on a route that stores turns.
     pub turn: Option<RunningTurn>,
-    /// Placement key; requests with equal keys share prompts.
+    /// Placement key; requests with equal keys share prompts and prefer the same backend server.
     pub placement_key: String,
     /// Token taken from the team's limit.
     pub limit_reservation: LimitReservation,
 }
 
-/// A token taken from a team's limit; refunded on drop unless the request was sent.
+/// A token taken from a team's limit; refunded on drop unless a backend server may have run the
+/// request.
 #[derive(Default)]
 pub struct LimitReservation {
     refund_to: Option<(Rc<FrontNode>, TeamId)>,
 }
 
 impl LimitReservation {
+    /// Takes a token and waits until it may be used.
     async fn acquire(
         node: &Rc<FrontNode>,
         table: &RoutingTable,
         team: &AdmittedTeam,
         step: Step,
     ) -> Result<Self, Refusal> {
+        // Never `None`, because the key was found in the same table.
         let Some(spec) = table.team_of_key(&team.key) else { return Ok(Self::default()) };
         let wait = node.acquire_limit_token(spec, step)?;
         node.metrics.limit_wait_seconds.observe(wait.as_secs_f64());
@@ -102,7 +106,7 @@
     pub id: String,
     /// Program id, if the request named one.
     pub program: Option<String>,
-    /// Answer to the caller.
+    /// Refusal to send to the caller.
     pub refusal: Refusal,
 }
 
@@ -184,7 +188,8 @@
     if let Some(route) = table.route(host.unwrap_or_default(), request.head.path()) {
         return Ok(route.clone());
     }
-    // A newer configuration may have the route, so only a fresh one can report it as unknown.
+    // A newer configuration may have the route, so it is reported as unknown only if the active
+    // configuration is current.
     node.require_fresh()?;
     Err(Refusal::not_run(
         RefusalKind::RouteUnknown,
@@ -240,7 +245,7 @@
     forwarded
 }
 
-/// Engine priority of requests with priority 0; leaves room for more urgent ones.
+/// Engine priority of requests with priority 0; lower values are left for more urgent requests.
 const ENGINE_PRIORITY_BASE: u64 = 3;
-/// Least urgent engine priority.
+/// Maximum engine priority value, which is the least urgent.
 const ENGINE_PRIORITY_MAX: u64 = 9;
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -1,7 +1,6 @@
 //! Attempts to run one request on backend servers.
 //!
-//! A request goes from *not sent* to *sent* to *answered*. It is retried only if it certainly did
-//! not run, or if its route allows it to run again.
+//! A request is retried only if it certainly did not run, or if its route allows it to run again.
 
 use std::io;
 use std::rc::Rc;
@@ -22,31 +21,32 @@
 use crate::front::connection::responder::Responder;
 use crate::front::process::{FrontNode, RetryReason};
 
-/// Longest idle time of a connection that is reused for a request that must not run twice. If the
+/// Maximum idle time of a connection that is reused for a request that must not run twice. If the
 /// peer closes an idle connection while the request is sent, it is unknown whether the request ran.
 const AT_MOST_ONCE_IDLE_MAX: Duration = Duration::from_millis(1_500);
-/// Longest idle time of a connection that is reused for other requests.
+/// Maximum idle time of a connection that is reused for other requests; in effect, the lower limit
+/// of the connection itself applies.
 const IDLE_MAX: Duration = Duration::from_secs(10);
-/// Delay before servers are tried again after all of them were busy or unreachable.
+/// Delay before servers are tried again when all of them were busy or unreachable.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(15);
-/// Divisor of the remaining time: a request may wait a third of it for a busy service.
+/// A request may wait for a busy service for its remaining time divided by this.
 const BUSY_WAIT_DIVISOR: u32 = 3;
-/// Shortest remaining time with which a request is sent; with less, no answer would arrive in time.
+/// Minimum remaining time for sending a request; with less, no answer would arrive in time.
 const SEND_TIME_MIN: Duration = Duration::from_millis(5);
 
 /// Reason why the caller did not get a complete answer from a backend server.
 pub enum Failure {
-    /// The request ends with this refusal.
+    /// The request failed; the refusal is sent if no response head was sent yet.
     Refused(Refusal),
     /// The caller's connection failed.
     CallerGone(io::Error),
 }
 
-/// Result of relaying an answer.
+/// Result of forwarding an answer.
 pub enum ForwardOutcome {
     /// The complete answer was sent to the caller.
     Complete,
-    /// The answer ended early or was faulty, for the given cause.
+    /// The answer ended early or was invalid; holds the cause.
     Incomplete(String),
 }
 
@@ -57,12 +57,13 @@
     /// Servers that were unreachable or refused the request without running it; skipped until all
     /// servers are tried again.
     excluded: Vec<BackendId>,
-    /// Servers that may have run the request, in the order of their first run.
+    /// Servers that may have run the request, in the order of their first possible run.
     may_have_run_on: Vec<BackendId>,
     /// Attempts that may have run and got no complete answer.
     lost_count: u32,
-    /// Id of the last event that the caller has.
+    /// Id of the last event that the caller has received, initially from its `Last-Event-ID`.
     pub(super) last_event: Option<u64>,
+    /// Time until which the request may wait for a busy service.
     busy_wait_until: Instant,
     /// Whether an attempt was sent to any server.
     is_sent: bool,
@@ -117,7 +118,7 @@
     }
 }
 
-/// Result of one attempt; `None` means that another one follows.
+/// Result of one attempt: `Some` ends the request, `None` means that another attempt follows.
 type AttemptResult = Result<Option<Result<(), Failure>>, Failure>;
 
 impl Attempts<'_> {
@@ -138,6 +139,7 @@
                 return Ok(None);
             }
         };
+        // Until the head is sent, the caller's own `Last-Event-ID` is forwarded.
         let resume_after = self.last_event.filter(|_| responder.is_head_sent());
         let request = outbound::build(&self.admitted, &server, time_left, resume_after)
             .map_err(|error| self.invalid_request(&error))?;
@@ -168,6 +170,7 @@
         result
     }
 
+    /// Refuses the request if its key was withdrawn after admission.
     fn recheck_key(&self) -> Result<(), Failure> {
         let Some(team) = &self.admitted.team else { return Ok(()) };
         self.node.require_fresh().map_err(|refusal| self.failure_before_send(refusal))?;
@@ -178,7 +181,8 @@
         Err(self.failure_before_send(Refusal::not_run(RefusalKind::KeyWithdrawn, message)))
     }
 
-    /// Returns `refusal`, or an unknown outcome if an earlier attempt may have run.
+    /// Returns a failure with `refusal`, or with an unknown outcome if an earlier attempt may have
+    /// run.
     fn failure_before_send(&self, refusal: Refusal) -> Failure {
         if self.may_have_run_on.is_empty() {
             return Failure::Refused(refusal);
@@ -187,6 +191,7 @@
         Failure::Refused(Refusal::unknown(RefusalKind::BackendFailed, message))
     }
 
+    /// Returns the failure after the deadline; its outcome is unknown if an attempt may have run.
     fn deadline_failure(&self) -> Failure {
         if self.may_have_run_on.is_empty() {
             let message = "no backend server could take the request in time; retry later";
@@ -221,8 +226,8 @@
         self.node.placement.borrow().choose(placement_request, ready, now).cloned()
     }
 
-    /// Returns the server that must get the next attempt once the route's limit on the number of
-    /// servers is reached; `None` below the limit or when that server takes no requests.
+    /// Returns the server for the next attempt once the route's limit on the number of servers is
+    /// reached; `None` below the limit, or when that server is not ready.
     fn pinned_server(&self) -> Option<&BackendId> {
         let server_count = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
         let last = self.may_have_run_on.last()?;
@@ -230,8 +235,8 @@
         (server_count >= self.admitted.route.attempts_max && is_ready).then_some(last)
     }
 
-    /// Waits before all servers are tried again; refuses if there are none or if `busy_wait_until`
-    /// would pass.
+    /// Waits until all servers may be tried again; refuses if there was none to try or if the wait
+    /// would exceed `busy_wait_until`.
     async fn wait_for_server(&mut self) -> AttemptResult {
         if self.excluded.is_empty() || Instant::now() + BUSY_RETRY_DELAY > self.busy_wait_until {
             let message = "no backend server can take the request now; retry later";
@@ -379,7 +384,7 @@
     }
 }
 
-/// `Retry-After` delay in milliseconds for callers when every server is busy.
+/// `Retry-After` delay for callers when every server is busy.
 const BUSY_RETRY_AFTER_MS: u64 = 150;
-/// Lost attempts after which even a repeatable request is refused.
+/// Number of lost attempts after which a request is refused even if it may run again.
 const LOST_ATTEMPTS_MAX: u32 = 4;
--- a/crates/daemon/src/front/request/body.rs
+++ b/crates/daemon/src/front/request/body.rs
@@ -9,13 +9,13 @@
 use super::frames::next_chunk;
 use crate::front::connection::responder::{BodyLength, Responder};
 
-/// Largest answer that is read completely before its first byte is sent to the caller, so that a
+/// Answers up to this size are read completely before anything is sent to the caller, so that a
 /// truncated answer can still be replaced by another attempt.
 const BUFFERED_MAX_BYTES: usize = 256 * 1024;
-/// Largest body of a refusal that is read to the end to make its connection reusable.
+/// Maximum size of a body that is read and discarded to make its connection reusable.
 const DISCARD_MAX_BYTES: u64 = 16 * 1024;
 
-/// Reads and discards a body; returns whether its end was reached.
+/// Discards a short body; returns whether its end was reached, so that the connection is reusable.
 pub async fn discard(response: Response<Incoming>) -> bool {
     let body = response.into_body();
     if body.is_end_stream() {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Forwards an answer once it is complete, or in chunks if it exceeds `BUFFERED_MAX_BYTES`.
+/// Forwards an answer once it is complete, or in large chunks if it exceeds `BUFFERED_MAX_BYTES`.
 pub async fn forward_body(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
@@ -56,6 +56,7 @@
     }
     let rest = buffered.freeze();
     if !is_chunked {
+        // A response to HEAD declares the length of a body that it does not have.
         let length = match declared_length(&head.headers) {
             Some(length) if attempts.admitted.method == Method::HEAD => length,
             _ => rest.len() as u64,
--- a/crates/daemon/src/front/request/frames.rs
+++ b/crates/daemon/src/front/request/frames.rs
@@ -1,4 +1,4 @@
-//! Reads response bodies of backend servers, bounded by a deadline.
+//! Reads response bodies of backend servers up to a deadline.
 
 use std::time::Instant;
 
@@ -16,7 +16,7 @@
     loop {
         match timeout_at(deadline.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                // Trailers are dropped: they hold nothing for the caller.
+                // Trailers are not forwarded, because they contain nothing for the caller.
                 if let Ok(data) = frame.into_data() {
                     return Ok(Some(data));
                 }
--- a/crates/daemon/src/front/request/mod.rs
+++ b/crates/daemon/src/front/request/mod.rs
@@ -1,4 +1,4 @@
-//! Handling of one request: admission, attempts on backend servers, the answer.
+//! Handles one request: admits it, tries backend servers and forwards the answer.
 
 mod admission;
 mod attempt;
--- a/crates/daemon/src/front/request/outbound.rs
+++ b/crates/daemon/src/front/request/outbound.rs
@@ -11,7 +11,7 @@
 
 use super::admission::Admitted;
 
-/// Builds the request for `server`; `resume_after` is the id of the last event that the caller has.
+/// Builds the request for `server`; `resume_after` replaces the caller's `Last-Event-ID`.
 pub fn build(
     admitted: &Admitted,
     server: &ServerEntry,
@@ -39,7 +39,7 @@
     NotRun(StatusCode),
     /// A valid answer to this request, to be forwarded to the caller.
     Valid,
-    /// Not a valid answer to this request, for the given cause; the connection must be closed.
+    /// Not a valid answer to this request; holds the cause. The connection must be closed.
     Invalid(&'static str),
 }
 
@@ -61,12 +61,13 @@
     if fields.contains_key(header::CONTENT_ENCODING) {
         return ResponseKind::Invalid("its body is encoded");
     }
+    // Only the presence of the signature is checked.
     if status.is_success() && !fields.contains_key(headers::SERVER_SIGNATURE) {
         return ResponseKind::Invalid("it bears no signature");
     }
     if matches!(status.as_u16(), 408 | 429 | 503) {
-        // To callers these statuses mean that the request did not run, but the backend server did
-        // not set the header that states it.
+        // Callers take these statuses to mean that the request did not run, but the backend server
+        // did not send the header that states it.
         return ResponseKind::Invalid("it promises what the backend server did not");
     }
     ResponseKind::Valid
--- a/crates/daemon/src/front/request/stream.rs
+++ b/crates/daemon/src/front/request/stream.rs
@@ -53,7 +53,7 @@
     Ok(ForwardOutcome::Complete)
 }
 
-/// Forwards one event; returns a cause instead if its id does not follow the last one.
+/// Forwards one event; the inner error is the cause if the event's id does not follow the last one.
 async fn forward_event(
     attempts: &mut Attempts<'_>,
     responder: &mut Responder<'_>,
--- a/crates/daemon/src/front/request/turn.rs
+++ b/crates/daemon/src/front/request/turn.rs
@@ -1,4 +1,4 @@
-//! Turns of programs: reservation of token budget and the stored history.
+//! Turns of programs: reserves tokens of the budget, reads the history and stores the turn.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -12,21 +12,23 @@
 
 use crate::front::process::FrontNode;
 
-/// A turn in progress; on drop, its token reservation is settled with the tokens delivered.
+/// A running turn; on drop, its token reservation is settled at the number of delivered tokens.
 pub struct RunningTurn {
     node: Rc<FrontNode>,
     request: String,
     /// Program whose budget the turn draws on, and the tokens reserved.
     reserved: Option<(String, u64)>,
+    /// Tokens that the service's model engine generates per event.
     tokens_per_event: u64,
     delivered_events: u64,
     /// Set until the turn is stored, if its route stores turns.
     pending: Option<PendingRecord>,
 }
 
-/// Content of a turn that is stored once its stream has ended.
+/// Content of a turn, stored once its stream is complete.
 struct PendingRecord {
     team: String,
+    /// Ids of the earlier turns, oldest first.
     chain: Vec<String>,
     input: Bytes,
     output: Vec<u8>,
@@ -34,11 +36,11 @@
 
 /// A request with its history and token reservation.
 pub struct PreparedRequest {
-    /// Set if the request is a turn with a budget or with a stored history.
+    /// Set if the request is a turn with a token budget or on a route that stores turns.
     pub turn: Option<RunningTurn>,
     /// Body to send, including the history.
     pub body: Bytes,
-    /// Placement key.
+    /// Placement key; requests with equal keys share prompts and prefer the same backend server.
     pub placement_key: String,
     /// Whether the request is the first turn of a program with a budget.
     pub starts_program: bool,
@@ -76,6 +78,7 @@
     if route.keeps_turns {
         let operation = read_history(node, context, team, body);
         let (pending, full_prompt) = with_store_timeout(deadline, operation).await?;
+        // All turns of a history share its first turn as the key.
         placement_key = pending.chain.first().unwrap_or(&context.id).clone();
         prompt = full_prompt;
         turn.pending = Some(pending);
@@ -90,14 +93,15 @@
     Ok(PreparedRequest { turn: Some(turn), body: prompt, placement_key, starts_program })
 }
 
-/// Returns the placement key, which requests with a common prompt share.
+/// Returns the placement key: the affinity key, the program's id or the request's id, whichever is
+/// set first. Requests with a common prompt share the key.
 fn placement_key(context: &RequestContext) -> String {
     let program = context.program.as_ref().map(|program| &program.id);
     let affinity = context.affinity.as_ref();
     affinity.or(program).unwrap_or(&context.id).clone()
 }
 
-/// Divisor of the remaining time: a store operation may take half of it, then the request is
+/// A store operation may take the remaining time divided by this, after which the request is
 /// refused.
 const STORE_WAIT_DIVISOR: u32 = 2;
 
@@ -155,7 +159,7 @@
     }
 
     /// Stores a turn whose stream is complete; returns `false` if the store did not accept it in
-    /// time, in which case the answer must not end.
+    /// time, in which case the answer must stay incomplete.
     pub async fn persist(&mut self, deadline: Instant) -> bool {
         let Some(pending) = self.pending.take() else { return true };
         let record = TurnRecord {
--- a/crates/daemon/src/front/version/follow.rs
+++ b/crates/daemon/src/front/version/follow.rs
@@ -1,4 +1,4 @@
-//! Tasks that follow changes of the operator's configuration and of the backend server list.
+//! Tasks that follow changes to the operator's configuration and to the backend server list.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 
 use crate::front::process::FrontNode;
 
-/// Longest time for which the store may hold one call until a new configuration is published;
-/// each response also proves freshness.
+/// Maximum wait of one call for a new configuration; each response also confirms that the active
+/// configuration is current.
 const CONFIG_POLL_WAIT: Duration = Duration::from_secs(1);
-/// Time between two reads of changes to the backend server list, a third of the time after which
-/// a draining server must no longer get requests.
+/// Interval between reads of changes to the backend server list; a third of the time within which
+/// requests to a draining server must stop.
 const SERVERS_POLL_INTERVAL: Duration = Duration::from_millis(600);
 /// Range of the random delay after a failed call, in milliseconds.
 const RETRY_DELAY_MS: std::ops::Range<u64> = 50..250;
@@ -29,6 +29,7 @@
     version: Option<u64>,
     /// Newest version seen; responses with an older one are stale.
     newest: u64,
+    /// Whether the last read failed.
     is_failing: bool,
 }
 
@@ -55,7 +56,8 @@
     let mut cursor = Cursor::default();
     loop {
         let requested_at = node.clock.boot_now();
-        // After a failure the call must return at once, because its response proves freshness.
+        // After a failure, the call does not wait, so that its response confirms at once that the
+        // configuration is current.
         let wait = if cursor.is_failing { Duration::ZERO } else { CONFIG_POLL_WAIT };
         match read(&node, &mut cursor, OPERATOR_TABLE, wait).await {
             Ok(Some(Update::Snapshot(rows) | Update::Changes(rows))) => {
@@ -134,7 +136,8 @@
     }
 }
 
-/// Decodes a backend server's entry; returns `None` when it was removed or is malformed.
+/// Decodes a backend server's entry; returns `None` when it was removed or is malformed, so that a
+/// malformed entry removes the server.
 fn decode_server(row: &RowChange) -> Option<ServerEntry> {
     let value = row.value.as_ref()?;
     match servers::decode(&row.key, value) {
@@ -150,7 +153,8 @@
     }
 }
 
-/// Reads new rows, or returns `None` when the response is stale.
+/// Reads the changes since the last read, or the whole table; returns `None` when the response is
+/// stale.
 ///
 /// Logs when calls start to fail and when they succeed again.
 async fn read(
@@ -203,7 +207,7 @@
 }
 
 impl FrontNode {
-    /// Replaces the routing table by a newer one.
+    /// Replaces the routing table with a newer one and updates the gauge of its version.
     fn adopt_table(&self, table: RoutingTable) {
         self.metrics.config_version.set(i64::try_from(table.version()).unwrap_or(i64::MAX));
         self.replace_table(Rc::new(table));
