--- a/crates/daemon/src/front/connection/backend.rs
+++ b/crates/daemon/src/front/connection/backend.rs
@@ -20,7 +20,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Longest wait for a new connection; the network latency is a few milliseconds.
+/// Maximum wait for a new connection; the network latency is a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Time for which sent data may remain unacknowledged before the connection is closed.
 const TCP_USER_TIMEOUT_MS: u32 = 2_000;
