--- a/crates/daemon/src/front/connection/caller.rs
+++ b/crates/daemon/src/front/connection/caller.rs
@@ -1,4 +1,4 @@
-//! Connections of callers.
+//! Serves connections from callers.
 
 use std::future::poll_fn;
 use std::io;
@@ -33,7 +33,7 @@
     pub arrived_at: Instant,
 }
 
-/// Accepts connections of callers until the process ends.
+/// Accepts connections from callers until the process ends.
 pub async fn accept(node: Rc<FrontNode>, listener: TcpListener) {
     listener::accept("callers", listener, |stream| serve(Rc::clone(&node), stream)).await;
 }
@@ -52,7 +52,8 @@
     }
 }
 
-/// Waits for a request; returns `None` when the connection is to be closed.
+/// Waits for a request and refuses it if its head is malformed; returns `None` when the connection
+/// must be closed.
 async fn next_request(
     node: &Rc<FrontNode>,
     io: &Io,
@@ -95,7 +96,7 @@
     responder.refuse("", refusal).await
 }
 
-/// Serves one request; returns whether the connection may be reused.
+/// Reads the body of a request and serves it; returns whether the connection may be reused.
 async fn serve_request(
     node: &Rc<FrontNode>,
     io: &Io,
@@ -107,11 +108,11 @@
     let _busy = node.caller_requests.track();
     let body_max_bytes = node.table().limits().body_max_bytes;
     match payload {
-        PayloadType::None => serve_buffered(node, io, codec, head, Bytes::new(), arrived_at).await,
+        PayloadType::None => handle_request(node, io, codec, head, Bytes::new(), arrived_at).await,
         PayloadType::Payload(decoder) | PayloadType::Stream(decoder) => {
             let body = read_body(io, &decoder, &head, body_max_bytes).await;
             let refusal = match body {
-                Ok(body) => return serve_buffered(node, io, codec, head, body, arrived_at).await,
+                Ok(body) => return handle_request(node, io, codec, head, body, arrived_at).await,
                 Err(BodyError::Connection(error)) => return Err(error),
                 Err(BodyError::TooLong) => Refusal::not_run(
                     RefusalKind::BodyTooLarge,
@@ -148,7 +149,7 @@
 }
 
 /// Serves a completely read request; returns whether the connection may be reused.
-async fn serve_buffered(
+async fn handle_request(
     node: &Rc<FrontNode>,
     io: &Io,
     codec: &Codec,
@@ -158,7 +159,8 @@
 ) -> io::Result<bool> {
     let request = CallerRequest { head, body, arrived_at };
     let mut responder = Responder::new(io, codec);
-    if node.stop.is_stopping() || node.reach.is_isolated() {
+    // The load balancer sends the caller's next connection to a node that is ready.
+    if node.stop.is_stopping() || node.store_reachability.is_isolated() {
         responder.close_after_response();
     }
     let is_answered = tokio::select! {
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Startup, reload and graceful shutdown of a node.
+//! Startup and graceful shutdown of a node.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -23,25 +23,26 @@
 use crate::front::connection::{caller, relay_server, status};
 use crate::front::version::follow;
 
-/// Timeout of store calls; even a slow store answers within it.
+/// Upper bound of the response timeout of store calls; even a slow store answers within it.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval between writes of buffered log lines.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between housekeeping runs.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
-/// Idle time after which a program's budget is evicted; longer than programs pause between turns.
+/// Idle time after which a program's budget is evicted from the cache; longer than programs pause
+/// between turns.
 const PROGRAM_IDLE_MAX: Duration = Duration::from_secs(300);
-/// Longest time since the last turn of programs whose claims are released at shutdown: these
+/// At shutdown, claims of programs with a turn within this time are released, because these
 /// programs probably continue on other nodes.
 const STOP_RELEASE_WINDOW: Duration = Duration::from_secs(10);
 /// Delay between the stop signal and the closing of idle caller connections.
 const STOP_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1_200);
-/// Time after the stop signal during which new connections still arrive: the load balancer checks
-/// readiness every second and stops after two failed checks.
+/// Minimum duration of a shutdown: the load balancer checks readiness every second and sends new
+/// connections until two checks have failed.
 const STOP_DURATION_MIN: Duration = Duration::from_millis(3_200);
 /// Time reserved at the end of the platform's grace period for the final writes.
 const STOP_MARGIN: Duration = Duration::from_millis(700);
-/// Interval between checks whether the shutdown can finish.
+/// Interval between checks of whether the shutdown can finish.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a node until it receives a stop signal.
@@ -68,7 +69,7 @@
         log::error!("event=start_failed cause=\"{error}\"");
         eprintln!("error: {error}; check the listen addresses");
     }
-    log_buffer.flush();
+    log_buffer.write_pending();
     if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
@@ -83,9 +84,12 @@
     let relay_listener = TcpListener::bind(peer_address).await?;
     let clock = FrontClock::new();
     let direct = Rc::new(HttpTransport::new(settings.store_address, Rc::clone(&metrics)));
-    let reach = Rc::new(StoreReachability::new(clock.clone()));
-    let transport =
-        FailoverTransport::new(Rc::clone(&direct), Rc::clone(&reach), Rc::clone(&metrics));
+    let store_reachability = Rc::new(StoreReachability::new(clock.clone()));
+    let transport = FailoverTransport::new(
+        Rc::clone(&direct),
+        Rc::clone(&store_reachability),
+        Rc::clone(&metrics),
+    );
     let store = StoreClient::new(Rc::new(transport), STORE_TIMEOUT);
     log::info!(
         "event=started vm={} zone={} callers={} store={} memory_max_bytes={} version={}",
@@ -96,7 +100,13 @@
         settings.memory_max_bytes,
         env!("CARGO_PKG_VERSION"),
     );
-    let node = Rc::new(FrontNode::new(settings, clock, (store, reach), metrics, Rc::clone(&peers)));
+    let node = Rc::new(FrontNode::new(
+        settings,
+        clock,
+        (store, store_reachability),
+        metrics,
+        Rc::clone(&peers),
+    ));
     tokio::task::spawn_local(follow::follow_config(Rc::clone(&node)));
     tokio::task::spawn_local(follow::follow_servers(Rc::clone(&node)));
     tokio::task::spawn_local(caller::accept(Rc::clone(&node), callers));
@@ -108,7 +118,7 @@
     tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(LOG_FLUSH_INTERVAL).await;
-            logs.flush();
+            logs.write_pending();
         }
     });
     wait_for_stop(&args.settings, &node).await?;
@@ -135,7 +145,7 @@
     }
 }
 
-/// Waits for SIGTERM or SIGINT; on SIGHUP, checks the settings file for changes.
+/// Waits for SIGTERM or SIGINT; on SIGHUP, only logs whether the settings file has changed.
 async fn wait_for_stop(settings_path: &Path, node: &FrontNode) -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -158,10 +168,10 @@
     }
 }
 
-/// Shuts down gracefully: serves requests in flight and those that still arrive, within the grace
-/// period.
+/// Shuts down gracefully: serves requests until none is in flight and new connections are no longer
+/// expected, or until shortly before the grace period ends.
 async fn shut_down(node: &Rc<FrontNode>, peers: &Peers) {
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     log::info!(
         "event=stop_begun connections={} requests={}",
         node.caller_connections.get(),
@@ -170,9 +180,9 @@
     node.stop.leave();
     tokio::time::sleep(STOP_IDLE_CLOSE_DELAY).await;
     node.stop.close_idle();
-    let deadline = begun_at + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
+    let deadline = started_at + node.settings.stop_grace.saturating_sub(STOP_MARGIN);
     while Instant::now() < deadline {
-        if node.caller_requests.get() == 0 && begun_at.elapsed() >= STOP_DURATION_MIN {
+        if node.caller_requests.get() == 0 && started_at.elapsed() >= STOP_DURATION_MIN {
             break;
         }
         tokio::time::sleep(STOP_POLL_INTERVAL).await;
@@ -182,7 +192,7 @@
     peers.announce_leaving(node).await;
     log::info!(
         "event=stopped elapsed_ms={} connections={} requests={}",
-        begun_at.elapsed().as_millis(),
+        started_at.elapsed().as_millis(),
         node.caller_connections.get(),
         node.caller_requests.get()
     );
--- a/crates/daemon/src/front/request/frames.rs
+++ b/crates/daemon/src/front/request/frames.rs
@@ -1,4 +1,4 @@
-//! Reads response bodies of backend servers, bounded by a deadline.
+//! Reads response bodies of backend servers up to a deadline.
 
 use std::time::Instant;
 
@@ -12,11 +12,11 @@
 /// # Errors
 ///
 /// Returns the cause if the body cannot be read further or the deadline has passed.
-pub async fn next_data(body: &mut Incoming, deadline: Instant) -> Result<Option<Bytes>, String> {
+pub async fn next_chunk(body: &mut Incoming, deadline: Instant) -> Result<Option<Bytes>, String> {
     loop {
         match timeout_at(deadline.into(), body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                // Trailers are dropped: they hold nothing for the caller.
+                // Trailers are not forwarded, because they contain nothing for the caller.
                 if let Ok(data) = frame.into_data() {
                     return Ok(Some(data));
                 }
