--- a/crates/daemon/tests/support/site.rs
+++ b/crates/daemon/tests/support/site.rs
@@ -146,7 +146,8 @@
         let any_port = "127.0.0.1:0".parse().expect("valid");
         let store = MetadataStore::spawn(any_port).expect("starts").to_string();
         let runner = |id: &str, delay_ms| {
-            let settings = RunnerSettings { id: id.to_owned(), event_count: EVENTS_PER_STREAM, delay_ms };
+            let settings =
+                RunnerSettings { id: id.to_owned(), event_count: EVENTS_PER_STREAM, delay_ms };
             let address = Runner::spawn(any_port, settings).expect("starts").to_string();
             SiteRunner { id: id.to_owned(), address }
         };
@@ -268,7 +269,8 @@
     pub async fn start_slow_engine(&self) -> SiteRunner {
         let any_port = "127.0.0.1:0".parse().expect("valid");
         let id = "engine-slow".to_owned();
-        let settings = RunnerSettings { id: id.clone(), event_count: EVENTS_PER_STREAM, delay_ms: 1_000 };
+        let settings =
+            RunnerSettings { id: id.clone(), event_count: EVENTS_PER_STREAM, delay_ms: 1_000 };
         let address = Runner::spawn(any_port, settings).expect("starts").to_string();
         for engine in &self.engines {
             self.put_row("servers", &engine.id, None).await;
