--- a/crates/daemon/benches/capacity/probe.rs
+++ b/crates/daemon/benches/capacity/probe.rs
@@ -15,7 +15,7 @@
 /// Unit of the CPU times in `/proc/PID/stat`, in ticks per second.
 const TICKS_PER_S: f64 = 100.0;
 /// Maximum number of nodes whose values are averaged.
-const SAMPLED_NODES: usize = 6;
+const SAMPLED_NODES_MAX: usize = 6;
 
 /// Values of one point: for each metric, one value per window.
 #[derive(Debug, Serialize)]
@@ -63,7 +63,7 @@
 /// Measures the sampled nodes in [`WINDOWS_PER_POINT`] windows and adds the averages to `point`.
 pub async fn measure(fleet: &Fleet, point: &mut Point) {
     for _ in 0..WINDOWS_PER_POINT {
-        let nodes = &fleet.nodes[..fleet.nodes.len().min(SAMPLED_NODES)];
+        let nodes = &fleet.nodes[..fleet.nodes.len().min(SAMPLED_NODES_MAX)];
         let mut before = Vec::new();
         for node in nodes {
             before.push(sample(fleet, node).await);
@@ -73,7 +73,7 @@
         let mut sums: BTreeMap<&str, f64> = BTreeMap::new();
         for (node, before) in nodes.iter().zip(&before) {
             let after = sample(fleet, node).await;
-            add_differences(&mut sums, before, &after, started.elapsed().as_secs_f64());
+            add_window(&mut sums, before, &after, started.elapsed().as_secs_f64());
         }
         let count = f64::from(u32::try_from(nodes.len()).unwrap_or(u32::MAX));
         for (metric, sum) in sums {
@@ -82,7 +82,7 @@
     }
 }
 
-fn add_differences(
+fn add_window(
     sums: &mut BTreeMap<&'static str, f64>,
     before: &Sample,
     after: &Sample,
--- a/crates/daemon/benches/capacity/scenarios.rs
+++ b/crates/daemon/benches/capacity/scenarios.rs
@@ -108,10 +108,14 @@
     objects
 }
 
-async fn objects_point(scenario: &str, count: usize, grow: fn(Value, usize) -> Value) -> Point {
+async fn objects_point(
+    scenario: &str,
+    count: usize,
+    add_objects: fn(Value, usize) -> Value,
+) -> Point {
     let fleet = start(3).await;
     let mut point = Point::new(scenario, count);
-    let objects = grow(fleet.sample_objects(), count);
+    let objects = add_objects(fleet.sample_objects(), count);
     let started = Instant::now();
     fleet.publish(objects.clone(), "grown").await.expect(200);
     point.add("publish_s", started.elapsed().as_secs_f64());
--- a/crates/daemon/src/backend/chat.rs
+++ b/crates/daemon/src/backend/chat.rs
@@ -186,7 +186,7 @@
         if !self.tool_calls.is_empty() {
             message["tool_calls"] = Value::Array(self.tool_calls.clone());
         }
-        let whole = json!({
+        let completion = json!({
             "id": self.id,
             "object": "chat.completion",
             "created": self.created,
@@ -194,7 +194,7 @@
             "choices": [{ "index": 0, "message": message, "finish_reason": self.finish_reason }],
             "usage": self.usage,
         });
-        whole.to_string().into_bytes()
+        completion.to_string().into_bytes()
     }
 }
 
@@ -216,9 +216,9 @@
 
 /// Converts a complete chat completion to the only chunk of a stream.
 #[must_use]
-pub fn single_chunk(whole: &[u8]) -> Vec<u8> {
-    let Ok(mut completion) = serde_json::from_slice::<Value>(whole) else {
-        return whole.to_vec();
+pub fn single_chunk(body: &[u8]) -> Vec<u8> {
+    let Ok(mut completion) = serde_json::from_slice::<Value>(body) else {
+        return body.to_vec();
     };
     completion["object"] = json!("chat.completion.chunk");
     if let Some(choice) = completion["choices"].get_mut(0).and_then(Value::as_object_mut)
--- a/crates/daemon/src/backend/engine.rs
+++ b/crates/daemon/src/backend/engine.rs
@@ -11,7 +11,7 @@
 
 use super::chat::CompletionAssembler;
 use super::{BackendAnswer, BackendError};
-use crate::connection::clients::is_never_sent;
+use crate::connection::clients::proves_not_sent;
 use crate::consts::{DEADLINE_HEADER, JSON, PRIORITY_HEADER, PROGRAM_ID_HEADER, REQUEST_ID_HEADER};
 
 /// Data of the last event of a stream.
@@ -91,14 +91,15 @@
             .header(DEADLINE_HEADER, deadline_ms);
         match timeout(self.idle_timeout, request.send_body(call.body.clone())).await {
             Ok(Ok(response)) => check_status(response).await,
-            Ok(Err(error)) if is_never_sent(&error) => Err(not_run("cannot be reached")),
+            Ok(Err(error)) if proves_not_sent(&error) => Err(not_run("cannot be reached")),
             Ok(Err(_)) => Err(lost("closed the connection")),
             Err(()) => Err(lost("did not answer in time")),
         }
     }
 
-    async fn resume(&self, call: &EngineCall, offset: usize) -> Option<ClientResponse> {
-        let url = format!("{}/v1/requests/{}?offset={offset}", self.base_url, call.request_id);
+    async fn resume(&self, call: &EngineCall, received_chunks: usize) -> Option<ClientResponse> {
+        let url =
+            format!("{}/v1/requests/{}?offset={received_chunks}", self.base_url, call.request_id);
         let response = timeout(self.idle_timeout, self.client.get(url).send()).await.ok()?.ok()?;
         response.status().is_success().then_some(response)
     }
--- a/crates/daemon/src/backend/service.rs
+++ b/crates/daemon/src/backend/service.rs
@@ -9,7 +9,7 @@
 use ntex::time::timeout;
 
 use super::{BackendAnswer, BackendError};
-use crate::connection::clients::is_never_sent;
+use crate::connection::clients::proves_not_sent;
 use crate::consts::{
     DEADLINE_HEADER, FENCING_NUMBER_HEADER, IDEMPOTENCY_KEY_HEADER, PROGRAM_ID_HEADER,
 };
@@ -71,7 +71,7 @@
             .force_close();
         let response = match request.send_body(call.body.clone()).await {
             Ok(response) => response,
-            Err(error) if is_never_sent(&error) => return Err(service_unreachable()),
+            Err(error) if proves_not_sent(&error) => return Err(service_unreachable()),
             Err(_) => return Err(lost("closed the connection")),
         };
         let content_type = response.header("content-type").and_then(|value| value.to_str().ok());
--- a/crates/daemon/src/connection/clients.rs
+++ b/crates/daemon/src/connection/clients.rs
@@ -62,7 +62,7 @@
 
 /// Returns whether `error` proves that no byte of the request was sent.
 #[must_use]
-pub fn is_never_sent(error: &ClientError) -> bool {
+pub fn proves_not_sent(error: &ClientError) -> bool {
     match error {
         ClientError::Connect(ConnectError::Disconnected(Some(cause))) => {
             cause.kind() == io::ErrorKind::ConnectionRefused
--- a/crates/daemon/src/connection/forward.rs
+++ b/crates/daemon/src/connection/forward.rs
@@ -14,7 +14,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use super::clients::is_never_sent;
+use super::clients::proves_not_sent;
 use crate::consts::JSON;
 
 /// Path of forwarded calls.
@@ -133,7 +133,7 @@
     let request = client.post(format!("http://{address}{path}")).content_type(JSON);
     match timeout(response_timeout, request.send_body(body)).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(error)) if is_never_sent(&error) => Err(ForwardError::NeverSent),
+        Ok(Err(error)) if proves_not_sent(&error) => Err(ForwardError::NeverSent),
         Ok(Err(_)) | Err(()) => Err(ForwardError::Lost),
     }
 }
--- a/crates/daemon/src/connection/peers.rs
+++ b/crates/daemon/src/connection/peers.rs
@@ -30,7 +30,7 @@
 /// JSON-RPC error code of a node that is stopping.
 const STOPPING_CODE: i32 = -32_000;
 /// Maximum size of a response from a peer.
-const MESSAGE_MAX_BYTES: u32 = 64 * 1024 * 1024;
+const RESPONSE_MAX_BYTES: u32 = 64 * 1024 * 1024;
 
 /// RPC interface of a node for control messages.
 #[rpc(server, client)]
@@ -70,51 +70,53 @@
         Self { control, metrics }
     }
 
-    fn count(&self) {
+    fn count_message(&self) {
         self.metrics.peer_messages.inc();
     }
 }
 
-fn stopping(refusal: dandelionfront_coordination::Refusal) -> ErrorObjectOwned {
+fn stopping_error(refusal: dandelionfront_coordination::Refusal) -> ErrorObjectOwned {
     ErrorObjectOwned::owned(STOPPING_CODE, refusal.message, None::<()>)
 }
 
 #[async_trait]
 impl PeerRpcServer for PeerService {
     async fn heartbeat(&self, beat: Heartbeat) -> RpcResult<HeartbeatReply> {
-        self.count();
+        self.count_message();
         let answer = move |control: Rc<Control>| async move {
-            control.node().answer_heartbeat(&beat, control.follower().current().version())
+            control.node().answer_heartbeat(&beat, control.config_follower().current().version())
         };
-        self.control.run(answer).await.map_err(stopping)
+        self.control.run(answer).await.map_err(stopping_error)
     }
 
     async fn suspects(&self, target: IncarnationId) -> RpcResult<bool> {
-        self.count();
+        self.count_message();
         let answer = move |control: Rc<Control>| async move { control.node().is_suspect(&target) };
-        self.control.run(answer).await.map_err(stopping)
+        self.control.run(answer).await.map_err(stopping_error)
     }
 
     async fn take(&self, team: TeamId, row_version: u64) -> RpcResult<TakeReply> {
-        self.count();
-        let answer =
-            move |control: Rc<Control>| async move { control.take_own(&team, row_version).await };
-        self.control.run(answer).await.map_err(stopping)
+        self.count_message();
+        let answer = move |control: Rc<Control>| async move {
+            control.take_from_own_share(&team, row_version).await
+        };
+        self.control.run(answer).await.map_err(stopping_error)
     }
 
     async fn limit_moved(&self, team: TeamId, row_version: u64) -> RpcResult<()> {
-        self.count();
+        self.count_message();
         let refresh = move |control: Rc<Control>| async move {
             let _ = control.node().limits().refresh(&team, row_version).await;
         };
-        self.control.run(refresh).await.map_err(stopping)
+        self.control.run(refresh).await.map_err(stopping_error)
     }
 
     async fn config_after(&self, version: ConfigVersion) -> RpcResult<ConfigTransfer> {
-        self.count();
-        let answer =
-            move |control: Rc<Control>| async move { control.follower().transfer_after(version) };
-        self.control.run(answer).await.map_err(stopping)
+        self.count_message();
+        let answer = move |control: Rc<Control>| async move {
+            control.config_follower().transfer_after(version)
+        };
+        self.control.run(answer).await.map_err(stopping_error)
     }
 }
 
@@ -151,7 +153,7 @@
         };
         WsClientBuilder::default()
             .request_timeout(REQUEST_TIMEOUT)
-            .max_response_size(MESSAGE_MAX_BYTES)
+            .max_response_size(RESPONSE_MAX_BYTES)
             .build_with_stream(format!("ws://{address}"), counted)
             .await
             .map_err(|error| error.to_string())
--- a/crates/daemon/src/operator/config.rs
+++ b/crates/daemon/src/operator/config.rs
@@ -64,14 +64,15 @@
     let work = move |control: Rc<Control>| async move { control.publish(&publication).await };
     match worker.shared.control.run(work).await {
         Ok(Ok(published)) => HttpResponse::Ok().json(&published),
-        Ok(Err(error)) => publish_failed(error),
-        Err(refusal) => failed(StatusCode::SERVICE_UNAVAILABLE, refusal.message),
+        Ok(Err(error)) => publish_error_response(error),
+        Err(refusal) => error_response(StatusCode::SERVICE_UNAVAILABLE, refusal.message),
     }
 }
 
 /// Returns all published versions without their objects.
 pub async fn get_history(worker: State<Rc<Worker>>) -> HttpResponse {
-    let work = |control: Rc<Control>| async move { control.follower().store().history().await };
+    let work =
+        |control: Rc<Control>| async move { control.config_follower().store().history().await };
     match worker.shared.control.run(work).await {
         Ok(Ok(rows)) => {
             let versions: Vec<_> = rows
@@ -88,8 +89,8 @@
                 .collect();
             HttpResponse::Ok().json(&versions)
         }
-        Ok(Err(error)) => failed(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
-        Err(refusal) => failed(StatusCode::SERVICE_UNAVAILABLE, refusal.message),
+        Ok(Err(error)) => error_response(StatusCode::SERVICE_UNAVAILABLE, error.to_string()),
+        Err(refusal) => error_response(StatusCode::SERVICE_UNAVAILABLE, refusal.message),
     }
 }
 
@@ -116,7 +117,7 @@
                 "version": published.version,
             }))
         }
-        Err(error) => edit_failed(error),
+        Err(error) => edit_error_response(error),
     }
 }
 
@@ -131,7 +132,7 @@
         }
         None => Err(format!("there is no key {key_name:?}; see dandelionctl show")),
     };
-    respond(edit_objects(&worker, unnamed_author(), edit).await)
+    edit_response(edit_objects(&worker, unnamed_author(), edit).await)
 }
 
 /// Drains a backend server: it gets no new calls.
@@ -144,7 +145,7 @@
         }
         None => Err(format!("there is no backend {name:?}; see dandelionctl show")),
     };
-    respond(edit_objects(&worker, unnamed_author(), edit).await)
+    edit_response(edit_objects(&worker, unnamed_author(), edit).await)
 }
 
 /// Applies `edit` to the newest configuration and publishes the result; retries on conflicts with
@@ -157,7 +158,7 @@
         let mut retries = 0;
         loop {
             let current = control
-                .follower()
+                .config_follower()
                 .newest()
                 .await
                 .map_err(|source| EditError::Publish(PublishError::Platform { source }))?;
@@ -181,32 +182,32 @@
     }
 }
 
-fn respond(result: Result<Published, EditError>) -> HttpResponse {
+fn edit_response(result: Result<Published, EditError>) -> HttpResponse {
     match result {
         Ok(published) => HttpResponse::Ok().json(&published),
-        Err(error) => edit_failed(error),
+        Err(error) => edit_error_response(error),
     }
 }
 
-fn edit_failed(error: EditError) -> HttpResponse {
+fn edit_error_response(error: EditError) -> HttpResponse {
     match error {
-        EditError::Rejected(message) => failed(StatusCode::CONFLICT, message),
-        EditError::Publish(error) => publish_failed(error),
+        EditError::Rejected(message) => error_response(StatusCode::CONFLICT, message),
+        EditError::Publish(error) => publish_error_response(error),
     }
 }
 
-fn publish_failed(error: PublishError) -> HttpResponse {
+fn publish_error_response(error: PublishError) -> HttpResponse {
     let message = error.to_string();
     match error {
         PublishError::Invalid { problems } => {
             let body = ErrorBody { error: message, problems };
             HttpResponse::UnprocessableEntity().json(&body)
         }
-        PublishError::Conflict { .. } => failed(StatusCode::CONFLICT, message),
-        PublishError::Platform { .. } => failed(StatusCode::SERVICE_UNAVAILABLE, message),
+        PublishError::Conflict { .. } => error_response(StatusCode::CONFLICT, message),
+        PublishError::Platform { .. } => error_response(StatusCode::SERVICE_UNAVAILABLE, message),
     }
 }
 
-fn failed(status: StatusCode, error: String) -> HttpResponse {
+fn error_response(status: StatusCode, error: String) -> HttpResponse {
     HttpResponse::build(status).json(&ErrorBody { error, problems: Vec::new() })
 }
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -32,12 +32,12 @@
 use crate::crash::CrashPoint;
 use crate::request::execute;
 use crate::settings::Settings;
-use crate::version::Follower;
+use crate::version::ConfigFollower;
 
 /// Delay between attempts to register the node.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Interval between runs that release engine memory.
-const RELEASE_INTERVAL: Duration = Duration::from_millis(200);
+const CLEAN_UP_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -51,7 +51,7 @@
     metrics: Metrics,
     peers: Rc<RpcPeers>,
     node: RefCell<Rc<Node>>,
-    follower: Follower,
+    config_follower: ConfigFollower,
     dispatcher: Dispatcher,
     leaving: Cell<bool>,
 }
@@ -77,7 +77,7 @@
             settings.node.clone(),
         );
         Rc::new(Self {
-            follower: Follower::new(
+            config_follower: ConfigFollower::new(
                 platform.clone(),
                 Rc::clone(&peers) as _,
                 config,
@@ -108,10 +108,10 @@
         &self.dispatcher
     }
 
-    /// Returns the follower of configuration versions.
+    /// Returns the follower, which holds the active configuration.
     #[must_use]
-    pub fn follower(&self) -> &Follower {
-        &self.follower
+    pub fn config_follower(&self) -> &ConfigFollower {
+        &self.config_follower
     }
 
     /// Starts the graceful shutdown of the node; from then on, a fenced node is not replaced by a
@@ -137,7 +137,7 @@
         ntex::rt::spawn(Rc::clone(&self).run_incarnations());
         ntex::rt::spawn(Rc::clone(&self).update_gauges());
         ntex::rt::spawn(Rc::clone(&self).watch_vms());
-        ntex::rt::spawn(Rc::clone(&self).release_memory());
+        ntex::rt::spawn(Rc::clone(&self).clean_up_programs());
         while let Some(task) = tasks.recv().await {
             ntex::rt::spawn(task(Rc::clone(&self)));
         }
@@ -163,15 +163,15 @@
     ///
     /// Refuses when the team exceeds its rate and burst.
     pub async fn acquire_token(&self, team: &TeamId) -> Result<(), Refusal> {
-        let config = self.follower.current();
+        let config = self.config_follower.current();
         let Some(limit) = config.team_limit(team) else { return Ok(()) };
         let node = self.node();
         node.limits().acquire(team, limit, &node.membership().members()).await
     }
 
     /// Takes a token from this node's share of the limit of `team`, on behalf of another node.
-    pub async fn take_own(&self, team: &TeamId, row_version: u64) -> TakeReply {
-        let config = self.follower.current();
+    pub async fn take_from_own_share(&self, team: &TeamId, row_version: u64) -> TakeReply {
+        let config = self.config_follower.current();
         let Some(limit) = config.team_limit(team) else { return TakeReply::NotHolder };
         let node = self.node();
         node.limits().take_own(team, row_version, limit, &node.membership().members()).await
@@ -205,7 +205,7 @@
         if !tried.is_empty() {
             self.node().owner().mark_unrecorded_backends(program);
         }
-        let config = self.follower.current();
+        let config = self.config_follower.current();
         let mut refusal = None;
         let mut next = Some(route);
         while let Some(object) = next.and_then(|name| config.objects().route.get(name)) {
@@ -252,8 +252,8 @@
         let opened_unix_ms = node.owner().program(id, None).map(|program| program.opened_unix_ms);
         let ended = node.owner().close(id, team.as_deref(), reason).await?;
         if let Some(opened_unix_ms) = opened_unix_ms {
-            let lasted = self.clock.unix().saturating_sub(Duration::from_millis(opened_unix_ms));
-            self.metrics.program_seconds.observe(lasted.as_secs_f64());
+            let duration = self.clock.unix().saturating_sub(Duration::from_millis(opened_unix_ms));
+            self.metrics.program_seconds.observe(duration.as_secs_f64());
         }
         Ok(ended)
     }
@@ -286,7 +286,7 @@
     ///
     /// Fails as documented at [`dandelionfront_coordination::ConfigStore::publish`].
     pub async fn publish(&self, publication: &Publication) -> Result<Published, PublishError> {
-        self.follower.publish(publication, self.clock.unix()).await
+        self.config_follower.publish(publication, self.clock.unix()).await
     }
 
     /// Loads a recorded body.
@@ -323,8 +323,8 @@
             }
             let head = node.membership().head();
             futures_util::future::select(
-                std::pin::pin!(node.run(&self.follower)),
-                std::pin::pin!(self.follower.follow(head)),
+                std::pin::pin!(node.run(&self.config_follower)),
+                std::pin::pin!(self.config_follower.follow(head)),
             )
             .await;
             if self.leaving.get() {
@@ -359,7 +359,7 @@
     }
 
     /// Ends abandoned programs and releases the engine memory of ended ones.
-    async fn release_memory(self: Rc<Self>) {
+    async fn clean_up_programs(self: Rc<Self>) {
         let releaser = Releaser::new(self.engine_client.clone(), self.settings.engine_silence);
         loop {
             let node = self.node();
@@ -368,12 +368,12 @@
                 info!("event=program_abandoned program={program}");
                 let _ = node.owner().close(&program, None, CloseReason::Abandoned).await;
             }
-            let config = self.follower.current();
+            let config = self.config_follower.current();
             let freed = releaser.release(&config, node.owner().unreleased()).await;
             if !freed.is_empty() {
                 node.owner().mark_released(&freed);
             }
-            ntex::time::sleep(RELEASE_INTERVAL).await;
+            ntex::time::sleep(CLEAN_UP_INTERVAL).await;
         }
     }
 
--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -36,7 +36,7 @@
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for which the listeners stay open after the last call, because the load balancer notices
 /// the shutdown late.
-const DRAIN_LINGER: Duration = Duration::from_secs(1);
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_secs(1);
 /// Timeout for connections to close after the last call; then idle connections are dropped.
 const CLOSE_TIMEOUT: Seconds = Seconds(2);
 /// Time after which idle connections of callers and peers are closed.
@@ -125,7 +125,7 @@
             }
             sleep(DRAIN_CHECK_INTERVAL).await;
         }
-        sleep(DRAIN_LINGER).await;
+        sleep(LISTENER_CLOSE_DELAY).await;
         self.deregister().await;
         for server in self.servers {
             server.stop(true).await;
--- a/crates/daemon/src/process/platform.rs
+++ b/crates/daemon/src/process/platform.rs
@@ -14,7 +14,7 @@
 use serde::de::DeserializeOwned;
 
 use super::metrics::Metrics;
-use crate::connection::clients::is_never_sent;
+use crate::connection::clients::proves_not_sent;
 
 /// Platform services that are called over HTTP.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
         let lost = |detail: String| PlatformError::AnswerLost { detail };
         match timeout(self.timeout, request.send_body(body)).await {
             Ok(Ok(response)) => check_status(response),
-            Ok(Err(error)) if is_never_sent(&error) => {
+            Ok(Err(error)) if proves_not_sent(&error) => {
                 Err(PlatformError::Unreachable { detail: error.to_string() })
             }
             Ok(Err(error)) => Err(lost(error.to_string())),
@@ -74,7 +74,7 @@
         self.json(request, Vec::new()).await
     }
 
-    fn count(&self, kind: &str) {
+    fn count_request(&self, kind: &str) {
         self.metrics.platform_requests.with_label_values(&[kind]).inc();
     }
 
@@ -102,7 +102,7 @@
 #[async_trait(?Send)]
 impl TableService for HttpPlatform {
     async fn get(&self, table: Table, key: &str) -> PlatformResult<Option<Row>> {
-        self.count("get");
+        self.count_request("get");
         self.read("/v1/table/row", &KeyQuery { table, key: key.to_owned() }).await
     }
 
@@ -113,13 +113,13 @@
         after: &str,
         limit: usize,
     ) -> PlatformResult<Vec<Row>> {
-        self.count("scan");
+        self.count_request("scan");
         let query = ScanQuery { table, prefix: prefix.to_owned(), after: after.to_owned(), limit };
         self.read("/v1/table/rows", &query).await
     }
 
     async fn transact(&self, transaction: &Transaction) -> PlatformResult<TransactionOutcome> {
-        self.count("transact");
+        self.count_request("transact");
         let body = serde_json::to_vec(transaction)
             .map_err(|error| PlatformError::Malformed { detail: error.to_string() })?;
         let request = self
@@ -133,12 +133,12 @@
 #[async_trait(?Send)]
 impl ObjectStore for HttpPlatform {
     async fn put(&self, key: &str, bytes: Vec<u8>) -> PlatformResult<()> {
-        self.count("object");
+        self.count_request("object");
         self.send(self.client.put(self.object_url(key)), bytes).await.map(drop)
     }
 
     async fn get(&self, key: &str) -> PlatformResult<Option<Vec<u8>>> {
-        self.count("object");
+        self.count_request("object");
         let response = self.send(self.client.get(self.object_url(key)), Vec::new()).await?;
         if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
--- a/crates/daemon/src/request/auth.rs
+++ b/crates/daemon/src/request/auth.rs
@@ -46,12 +46,12 @@
 
 /// Detects that a caller's key becomes invalid while its request runs.
 #[derive(Debug, Clone)]
-pub struct KeyGuard {
+pub struct KeyWatcher {
     caller: Option<Caller>,
     config: watch::Receiver<Arc<ConfigSnapshot>>,
 }
 
-impl KeyGuard {
+impl KeyWatcher {
     /// Creates a guard for `caller`; a request without a key is never interrupted.
     #[must_use]
     pub fn new(caller: Option<Caller>, config: watch::Receiver<Arc<ConfigSnapshot>>) -> Self {
--- a/crates/daemon/src/request/chat.rs
+++ b/crates/daemon/src/request/chat.rs
@@ -12,9 +12,9 @@
 use ntex::web::{HttpRequest, HttpResponse, types::Payload, types::State};
 
 use super::answer::{complete, event_stream, refusal_json, refuse, sse_event};
-use super::auth::{KeyGuard, authenticate};
+use super::auth::{KeyWatcher, authenticate};
 use super::routes::{
-    CallIdentity, InFlight, acquire_team_token, read_body, read_identity, route_for,
+    CallIdentity, InFlightGuard, acquire_team_token, authorize_route, read_body, read_identity,
 };
 use super::submit::CallStream;
 use crate::backend::{ChatBody, single_chunk};
@@ -26,10 +26,10 @@
     request: HttpRequest,
     payload: Payload,
 ) -> HttpResponse {
-    let in_flight = InFlight::new(&worker.shared.metrics);
+    let in_flight = InFlightGuard::new(&worker.shared.metrics);
     match receive(&worker, &request, payload).await {
-        Ok((call, guard)) => {
-            let stream = CallStream::new((**worker).clone(), call, guard);
+        Ok((call, key_watcher)) => {
+            let stream = CallStream::new((**worker).clone(), call, key_watcher);
             respond(&worker, stream, in_flight).await
         }
         Err(refusal) => refuse(&worker.shared.metrics, &refusal),
@@ -41,24 +41,24 @@
     worker: &Worker,
     request: &HttpRequest,
     payload: Payload,
-) -> Result<(CallRequest, KeyGuard), Refusal> {
+) -> Result<(CallRequest, KeyWatcher), Refusal> {
     let body = read_body(worker, payload).await?;
-    let (call, guard) = prepare(worker, request, &body)?;
+    let (call, key_watcher) = prepare(worker, request, &body)?;
     acquire_team_token(worker, &call).await?;
-    Ok((call, guard))
+    Ok((call, key_watcher))
 }
 
 fn prepare(
     worker: &Worker,
     request: &HttpRequest,
     body: &Bytes,
-) -> Result<(CallRequest, KeyGuard), Refusal> {
+) -> Result<(CallRequest, KeyWatcher), Refusal> {
     let config = worker.shared.config();
     let caller = authenticate(&config, request)?;
     let chat = ChatBody::parse(body)
         .map_err(|error| Refusal::not_run(RefusalKind::InvalidRequest, error.to_string()))?;
     let route_id = chat.model.clone();
-    let (route, team) = route_for(&config, &route_id, caller.as_ref())?;
+    let (route, team) = authorize_route(&config, &route_id, caller.as_ref())?;
     let Some(model) = route.model.clone() else {
         return Err(Refusal::not_run(
             RefusalKind::InvalidRequest,
@@ -67,7 +67,7 @@
     };
     let identity = read_identity(&worker.shared.settings, request, &team)?;
     let call = model_call(&config, chat, identity, (route_id, model), team)?;
-    Ok((call, KeyGuard::new(caller, worker.shared.config.clone())))
+    Ok((call, KeyWatcher::new(caller, worker.shared.config.clone())))
 }
 
 fn model_call(
@@ -106,7 +106,11 @@
 
 /// Responds with an event stream or a complete body, as the caller asked; a refusal that comes
 /// before any chunk is a plain error response.
-async fn respond(worker: &Worker, mut stream: CallStream, in_flight: InFlight) -> HttpResponse {
+async fn respond(
+    worker: &Worker,
+    mut stream: CallStream,
+    in_flight: InFlightGuard,
+) -> HttpResponse {
     let metrics = worker.shared.metrics.clone();
     let first = stream.next().await;
     metrics.first_token_seconds.observe(in_flight.elapsed().as_secs_f64());
@@ -133,7 +137,7 @@
     worker: &Worker,
     stream: CallStream,
     first: CallEvent,
-    in_flight: InFlight,
+    in_flight: InFlightGuard,
 ) -> impl futures_util::Stream<Item = Result<Bytes, std::convert::Infallible>> + 'static {
     let metrics = worker.shared.metrics.clone();
     let clock = worker.shared.clock;
@@ -147,8 +151,8 @@
                 event
             } else {
                 let next = stream.next().await;
-                let pause = clock.monotonic().saturating_sub(started);
-                metrics.between_tokens_seconds.observe(pause.as_secs_f64());
+                let waited = clock.monotonic().saturating_sub(started);
+                metrics.between_tokens_seconds.observe(waited.as_secs_f64());
                 next
             };
             match next {
@@ -171,10 +175,10 @@
 
 /// Returns the final events of a stream; if no chunk was sent, because the answer was recorded
 /// earlier, the complete answer comes first as a single chunk.
-fn last_events(whole: &CallBody, chunks_sent: bool) -> Bytes {
+fn last_events(completion: &CallBody, chunks_sent: bool) -> Bytes {
     let mut bytes = Vec::new();
     if !chunks_sent {
-        let chunk = single_chunk(&whole.0);
+        let chunk = single_chunk(&completion.0);
         bytes.extend_from_slice(&sse_event(&String::from_utf8_lossy(&chunk)));
     }
     bytes.extend_from_slice(&sse_event("[DONE]"));
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -20,7 +20,7 @@
 use crate::process::metrics::RetryReason;
 
 /// Maximum number of backend servers tried in one attempt.
-const TRIES_MAX: usize = 3;
+const BACKENDS_PER_ATTEMPT_MAX: usize = 3;
 /// Interval between checks whether a call was abandoned.
 const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -71,15 +71,16 @@
             Ok(placement) => placement,
             Err(refusal) => return Err(lost.unwrap_or(BackendError::NotRun(refusal))),
         };
-        let result = if is_past_deadline(worker, ticket) {
-            Err(BackendError::NotRun(dispatch_too_late()))
+        let result = if is_past_dispatch_deadline(worker, ticket) {
+            Err(BackendError::NotRun(late_dispatch_refusal()))
         } else {
             try_backend(worker, ticket, request, &placement).await
         };
         let backend = placement.backend.clone();
         tried.push(backend.clone());
         worker.shared.control.release(placement);
-        let reason = retry_reason(request, &result).filter(|_| tried.len() < TRIES_MAX);
+        let reason =
+            retry_reason(request, &result).filter(|_| tried.len() < BACKENDS_PER_ATTEMPT_MAX);
         let Some(reason) = reason else {
             // A refusal by this backend server does not show whether an earlier one ran the call.
             return result.map(|answer| (answer, backend)).map_err(|error| lost.unwrap_or(error));
@@ -108,7 +109,7 @@
     }
 }
 
-fn is_past_deadline(worker: &Worker, ticket: &CallTicket) -> bool {
+fn is_past_dispatch_deadline(worker: &Worker, ticket: &CallTicket) -> bool {
     ticket.dispatch_before.is_some_and(|before| worker.shared.clock.monotonic() >= before)
 }
 
@@ -213,7 +214,7 @@
     )
 }
 
-fn dispatch_too_late() -> Refusal {
+fn late_dispatch_refusal() -> Refusal {
     Refusal::not_run(
         RefusalKind::DeadlineExceeded,
         "the node was paused too long before it could send the call; repeat it",
--- a/crates/daemon/src/request/forwarded.rs
+++ b/crates/daemon/src/request/forwarded.rs
@@ -33,7 +33,7 @@
 
 enum Stage {
     Admitting(LocalBoxFuture<'static, Result<FeedReader, Refusal>>),
-    Following(FeedReader),
+    Streaming(FeedReader),
     Ended,
 }
 
@@ -55,14 +55,14 @@
     Some(match stage {
         Stage::Admitting(mut admission) => match timeout(KEEP_ALIVE_INTERVAL, &mut admission).await
         {
-            Ok(Ok(reader)) => (keep_alive(), Stage::Following(reader)),
+            Ok(Ok(reader)) => (keep_alive_event(), Stage::Streaming(reader)),
             Ok(Err(refusal)) => (encode(&CallEvent::Refused(refusal)), Stage::Ended),
-            Err(()) => (keep_alive(), Stage::Admitting(admission)),
+            Err(()) => (keep_alive_event(), Stage::Admitting(admission)),
         },
-        Stage::Following(mut reader) => match timeout(KEEP_ALIVE_INTERVAL, reader.next()).await {
-            Ok(chunk @ CallEvent::Delta(_)) => (encode(&chunk), Stage::Following(reader)),
+        Stage::Streaming(mut reader) => match timeout(KEEP_ALIVE_INTERVAL, reader.next()).await {
+            Ok(chunk @ CallEvent::Delta(_)) => (encode(&chunk), Stage::Streaming(reader)),
             Ok(last) => (encode(&last), Stage::Ended),
-            Err(()) => (keep_alive(), Stage::Following(reader)),
+            Err(()) => (keep_alive_event(), Stage::Streaming(reader)),
         },
         Stage::Ended => return None,
     })
@@ -96,6 +96,6 @@
 }
 
 /// Returns a keep-alive event.
-fn keep_alive() -> Bytes {
+fn keep_alive_event() -> Bytes {
     Bytes::from(format!("event: {KEEP_ALIVE_EVENT}\ndata: {{}}\n\n"))
 }
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -168,12 +168,13 @@
         })?
     };
     let config = worker.shared.config();
-    let budget_tokens = team_budget(&config, &team)
-        .map_or(wanted.budget_tokens, |own| Some(wanted.budget_tokens.unwrap_or(own).min(own)));
+    let budget_tokens = team_budget(&config, &team).map_or(wanted.budget_tokens, |team_max| {
+        Some(wanted.budget_tokens.unwrap_or(team_max).min(team_max))
+    });
     let spec = ProgramSpec { team, parent: wanted.parent, budget_tokens };
     let home = match &spec.parent {
         Some(parent) => home_of_program(parent).ok_or_else(Refusal::program_unknown)?,
-        None => new_home(worker).await?,
+        None => select_home(worker).await?,
     };
     match send_to_owner(worker, &home, ProgramRequest::Open(spec)).await? {
         ProgramReply::Opened(id) => Ok(id),
@@ -183,7 +184,7 @@
 
 /// Returns a home for a new program: a random shard that this node serves, or any shard of the
 /// region if this node serves none.
-async fn new_home(worker: &Worker) -> Result<ProgramHome, Refusal> {
+async fn select_home(worker: &Worker) -> Result<ProgramHome, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
     let shards = worker.shared.control.run(serving).await?;
     let position = rand::random_range(0..shards.len().max(1));
--- a/crates/daemon/src/request/routes.rs
+++ b/crates/daemon/src/request/routes.rs
@@ -111,7 +111,7 @@
 /// # Errors
 ///
 /// Refuses unknown routes, and requests without a key on routes that are not open to all.
-pub fn route_for<'a>(
+pub fn authorize_route<'a>(
     config: &'a ConfigSnapshot,
     route: &str,
     caller: Option<&Caller>,
@@ -142,12 +142,12 @@
 
 /// Counts a call as in flight until it is dropped.
 #[derive(Debug)]
-pub struct InFlight {
+pub struct InFlightGuard {
     metrics: Metrics,
     arrived: Instant,
 }
 
-impl InFlight {
+impl InFlightGuard {
     /// Starts to count a call that has just arrived.
     #[must_use]
     pub fn new(metrics: &Metrics) -> Self {
@@ -168,7 +168,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.metrics.calls_in_flight.dec();
     }
--- a/crates/daemon/src/request/service.rs
+++ b/crates/daemon/src/request/service.rs
@@ -8,8 +8,8 @@
 use ntex::web::{HttpRequest, HttpResponse, types, types::State};
 
 use super::answer::{complete, refuse};
-use super::auth::{KeyGuard, authenticate};
-use super::routes::{InFlight, acquire_team_token, read_body, read_identity, route_for};
+use super::auth::{KeyWatcher, authenticate};
+use super::routes::{InFlightGuard, acquire_team_token, authorize_route, read_body, read_identity};
 use super::submit::CallStream;
 use crate::process::Worker;
 
@@ -22,7 +22,7 @@
     request: HttpRequest,
     payload: types::Payload,
 ) -> HttpResponse {
-    let in_flight = InFlight::new(&worker.shared.metrics);
+    let in_flight = InFlightGuard::new(&worker.shared.metrics);
     match serve(&worker, &request, payload).await {
         Ok((program, answer)) => {
             in_flight.answered();
@@ -38,9 +38,9 @@
     payload: types::Payload,
 ) -> Result<(ProgramId, Answer), Refusal> {
     let body = read_body(worker, payload).await?;
-    let (call, guard) = prepare(worker, request, &body)?;
+    let (call, key_watcher) = prepare(worker, request, &body)?;
     acquire_team_token(worker, &call).await?;
-    let mut stream = CallStream::new(worker.clone(), call, guard);
+    let mut stream = CallStream::new(worker.clone(), call, key_watcher);
     let answer = stream.outcome().await?;
     Ok((stream.program().to_owned(), answer))
 }
@@ -49,13 +49,14 @@
     worker: &Worker,
     request: &HttpRequest,
     body: &Bytes,
-) -> Result<(CallRequest, KeyGuard), Refusal> {
+) -> Result<(CallRequest, KeyWatcher), Refusal> {
     let config = worker.shared.config();
     let caller = authenticate(&config, request)?;
     let full_path = request.uri().path_and_query().map_or("", |path| path.as_str());
-    let below = full_path.strip_prefix(SERVICES_PATH).unwrap_or_default();
-    let (route_id, path) = below.split_at(below.find(['/', '?']).unwrap_or(below.len()));
-    let (route, team) = route_for(&config, route_id, caller.as_ref())?;
+    let route_and_path = full_path.strip_prefix(SERVICES_PATH).unwrap_or_default();
+    let (route_id, path) =
+        route_and_path.split_at(route_and_path.find(['/', '?']).unwrap_or(route_and_path.len()));
+    let (route, team) = authorize_route(&config, route_id, caller.as_ref())?;
     if route.service.is_none() {
         return Err(Refusal::not_run(
             RefusalKind::InvalidRequest,
@@ -81,5 +82,5 @@
         stream: false,
         body: Payload(body.to_vec()),
     };
-    Ok((call, KeyGuard::new(caller, worker.shared.config.clone())))
+    Ok((call, KeyWatcher::new(caller, worker.shared.config.clone())))
 }
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -16,7 +16,7 @@
 use ntex::time::sleep;
 use tokio::sync::oneshot;
 
-use super::auth::KeyGuard;
+use super::auth::KeyWatcher;
 use super::execute;
 use crate::connection::forward::{ForwardError, RemoteCall};
 use crate::crash::CrashPoint;
@@ -32,7 +32,7 @@
 
 enum Source {
     /// No owner is connected.
-    Detached,
+    Disconnected,
     /// This node is the owner.
     Local(FeedReader),
     /// Another node is the owner.
@@ -45,13 +45,13 @@
 pub struct CallStream {
     worker: Worker,
     request: CallRequest,
-    guard: KeyGuard,
+    key_watcher: KeyWatcher,
     source: Source,
     /// Whether an owner that failed may have run the call.
     may_have_run: bool,
     deadline: Duration,
     delivered: StreamPrefix,
-    replayed: StreamPrefix,
+    received: StreamPrefix,
 }
 
 /// Number and digest of the first chunks of a stream. After a reconnection they show whether the
@@ -75,17 +75,17 @@
 impl CallStream {
     /// Creates the stream of `request`; the request is sent by the first [`CallStream::next`].
     #[must_use]
-    pub fn new(worker: Worker, request: CallRequest, guard: KeyGuard) -> Self {
+    pub fn new(worker: Worker, request: CallRequest, key_watcher: KeyWatcher) -> Self {
         let deadline = worker.shared.clock.monotonic() + worker.shared.settings.owner_wait;
         Self {
             worker,
             request,
-            guard,
-            source: Source::Detached,
+            key_watcher,
+            source: Source::Disconnected,
             may_have_run: false,
             deadline,
             delivered: StreamPrefix::default(),
-            replayed: StreamPrefix::default(),
+            received: StreamPrefix::default(),
         }
     }
 
@@ -103,10 +103,10 @@
 
     /// Returns the next event; [`CallEvent::Finished`] and [`CallEvent::Refused`] end the stream.
     pub async fn next(&mut self) -> CallEvent {
-        let mut guard = self.guard.clone();
+        let mut key_watcher = self.key_watcher.clone();
         let event = {
-            let invalidated = std::pin::pin!(guard.invalidated());
-            let event = std::pin::pin!(self.next_ignoring_key());
+            let invalidated = std::pin::pin!(key_watcher.invalidated());
+            let event = std::pin::pin!(self.next_from_owner());
             match select(invalidated, event).await {
                 Either::Left((refusal, _)) => CallEvent::Refused(refusal),
                 Either::Right((event, _)) => event,
@@ -133,10 +133,10 @@
         }
     }
 
-    async fn next_ignoring_key(&mut self) -> CallEvent {
+    async fn next_from_owner(&mut self) -> CallEvent {
         loop {
             let event = match &mut self.source {
-                Source::Detached => match self.attach().await {
+                Source::Disconnected => match self.connect().await {
                     Ok(()) => continue,
                     Err(refusal) => return CallEvent::Refused(refusal),
                 },
@@ -147,39 +147,39 @@
             match event {
                 Some(CallEvent::Refused(refusal)) if refusal.kind == RefusalKind::NotOwner => {
                     self.may_have_run |= refusal.run != RunState::NotRun;
-                    self.detach(RetryReason::OwnerMoved);
+                    self.disconnect(RetryReason::OwnerMoved);
                 }
                 Some(CallEvent::Delta(chunk)) => match self.deliver(chunk) {
                     Ok(Some(chunk)) => return CallEvent::Delta(chunk),
                     Ok(None) => {}
                     Err(refusal) => return CallEvent::Refused(refusal),
                 },
-                Some(event) => return self.last_event(event),
+                Some(event) => return self.check_last_event(event),
                 None => {
                     self.may_have_run = true;
-                    self.detach(RetryReason::OwnerLost);
+                    self.disconnect(RetryReason::OwnerLost);
                 }
             }
         }
     }
 
-    /// Skips chunks that the caller already received; fails when the replayed chunks differ.
+    /// Skips chunks that the caller already received; fails when the repeated chunks differ.
     fn deliver(&mut self, chunk: Payload) -> Result<Option<Payload>, Refusal> {
-        if self.replayed.chunks == self.delivered.chunks {
+        if self.received.chunks == self.delivered.chunks {
             self.delivered.add(&chunk);
-            self.replayed = self.delivered;
+            self.received = self.delivered;
             return Ok(Some(chunk));
         }
-        self.replayed.add(&chunk);
-        if self.replayed.chunks == self.delivered.chunks && self.replayed != self.delivered {
+        self.received.add(&chunk);
+        if self.received.chunks == self.delivered.chunks && self.received != self.delivered {
             return Err(interrupted());
         }
         Ok(None)
     }
 
-    fn last_event(&self, event: CallEvent) -> CallEvent {
+    fn check_last_event(&self, event: CallEvent) -> CallEvent {
         match event {
-            CallEvent::Finished(_) if self.replayed != self.delivered => {
+            CallEvent::Finished(_) if self.received != self.delivered => {
                 CallEvent::Refused(interrupted())
             }
             // A failed owner may have run a repeatable call without recording it.
@@ -190,27 +190,27 @@
         }
     }
 
-    fn detach(&mut self, reason: RetryReason) {
+    fn disconnect(&mut self, reason: RetryReason) {
         self.worker.shared.metrics.count_retry(reason);
         debug!("event=call_detached program={} reason={reason:?}", self.request.program);
-        self.source = Source::Detached;
-        self.replayed = StreamPrefix::default();
+        self.source = Source::Disconnected;
+        self.received = StreamPrefix::default();
         let settings = &self.worker.shared.settings;
         self.deadline = self.worker.shared.clock.monotonic() + settings.owner_wait;
     }
 
-    async fn attach(&mut self) -> Result<(), Refusal> {
+    async fn connect(&mut self) -> Result<(), Refusal> {
         let home = home_of_program(&self.request.program).ok_or_else(Refusal::program_unknown)?;
         loop {
             let location = self.worker.shared.control.locate(&home).await?;
             let failure = match location {
-                Location::Local => match self.attach_local().await {
+                Location::Local => match self.connect_local().await {
                     Err(refusal) if refusal.kind == RefusalKind::NotOwner => {
                         RetryReason::OwnerMoved
                     }
-                    attached => return attached,
+                    connected => return connected,
                 },
-                Location::Remote(address) => match self.attach_remote(&address).await {
+                Location::Remote(address) => match self.connect_remote(&address).await {
                     Ok(()) => return Ok(()),
                     Err(reason) => reason,
                 },
@@ -224,12 +224,12 @@
         }
     }
 
-    async fn attach_local(&mut self) -> Result<(), Refusal> {
+    async fn connect_local(&mut self) -> Result<(), Refusal> {
         self.source = Source::Local(admit_local(&self.worker, &self.request).await?);
         Ok(())
     }
 
-    async fn attach_remote(&mut self, address: &str) -> Result<(), RetryReason> {
+    async fn connect_remote(&mut self, address: &str) -> Result<(), RetryReason> {
         let client = &self.worker.clients.peers;
         match RemoteCall::send(client, address, &self.request, OWNER_TIMEOUT).await {
             Ok(call) => {
@@ -276,14 +276,14 @@
             return execute::run(worker, ticket, request).await;
         }
         Ok(Admission::Join(feed)) => Ok(feed.reader()),
-        Ok(Admission::Recorded(stored)) => replay(&worker, stored).await,
+        Ok(Admission::Recorded(stored)) => read_recorded(&worker, stored).await,
         Err(refusal) => Err(refusal),
     };
     let _ = reply.send(result);
 }
 
 /// Returns a reader that receives a recorded answer.
-async fn replay(worker: &Worker, stored: StoredAnswer) -> Result<FeedReader, Refusal> {
+async fn read_recorded(worker: &Worker, stored: StoredAnswer) -> Result<FeedReader, Refusal> {
     let StoredAnswer { status, content_type, body } = stored;
     let load = move |control: Rc<Control>| async move { control.load_body(&body).await };
     let body = worker.shared.control.run(load).await??;
--- a/crates/daemon/src/trial.rs
+++ b/crates/daemon/src/trial.rs
@@ -216,15 +216,15 @@
             counts == (2, 1),
             UnexpectedSnafu { detail: format!("model and service executions are {counts:?}") }
         );
-        let depends = model_calls.iter().any(|call| call.body.contains(first));
+        let contains_first_answer = model_calls.iter().any(|call| call.body.contains(first));
         ensure!(
-            depends,
+            contains_first_answer,
             UnexpectedSnafu { detail: "the second call does not contain the first answer" }
         );
-        let shown = model_calls.iter().chain(&service_calls).any(|call| {
+        let key_leaked = model_calls.iter().chain(&service_calls).any(|call| {
             call.body.contains(key) || call.headers.values().any(|value| value.contains(key))
         });
-        ensure!(!shown, UnexpectedSnafu { detail: "a backend server received the API key" });
+        ensure!(!key_leaked, UnexpectedSnafu { detail: "a backend server received the API key" });
         println!("executions: 2 model calls, 1 service call, no key seen");
         Ok(())
     }
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -28,17 +28,17 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Holds the active configuration and switches to newer versions.
-pub struct Follower {
+pub struct ConfigFollower {
     store: ConfigStore,
     peers: Rc<dyn Peers>,
     current: watch::Sender<Arc<ConfigSnapshot>>,
     recent: RefCell<VecDeque<VersionRow>>,
-    newer_peer: RefCell<Option<NewerConfig>>,
-    peer_has_newer: Notify,
+    newer_config: RefCell<Option<NewerConfig>>,
+    newer_config_reported: Notify,
     metrics: Metrics,
 }
 
-impl Follower {
+impl ConfigFollower {
     /// Creates a follower that sends each newly active version to `current`.
     #[must_use]
     pub fn new(
@@ -52,8 +52,8 @@
             peers,
             current,
             recent: RefCell::default(),
-            newer_peer: RefCell::default(),
-            peer_has_newer: Notify::new(),
+            newer_config: RefCell::default(),
+            newer_config_reported: Notify::new(),
             metrics,
         }
     }
@@ -96,7 +96,7 @@
                 continue;
             }
             let changed = std::pin::pin!(head.changed());
-            let notified = std::pin::pin!(self.peer_has_newer.notified());
+            let notified = std::pin::pin!(self.newer_config_reported.notified());
             select(changed, notified).await;
         }
     }
@@ -121,13 +121,13 @@
     /// Fetches a newer version from a peer, if one is known to have it; returns `false` if the
     /// fetch failed.
     async fn catch_up_from_peer(&self) -> bool {
-        let Some(newer) = self.newer_peer.borrow_mut().take() else { return true };
+        let Some(newer) = self.newer_config.borrow_mut().take() else { return true };
         let current = self.current();
         if newer.version <= current.version() {
             return true;
         }
         match self.peers.config_after(&newer.peer_address, current.version()).await {
-            Ok(transfer) => self.adopt_transfer(&current, transfer).await,
+            Ok(transfer) => self.activate_transfer(&current, transfer).await,
             Err(error) => {
                 debug!("event=config_transfer_failed cause={error:?}");
                 false
@@ -135,12 +135,12 @@
         }
     }
 
-    async fn adopt_transfer(&self, current: &ConfigSnapshot, transfer: ConfigTransfer) -> bool {
+    async fn activate_transfer(&self, current: &ConfigSnapshot, transfer: ConfigTransfer) -> bool {
         match transfer {
             ConfigTransfer::Full { version, digest, objects } => {
                 let intact = objects.digest() == digest;
                 if intact {
-                    self.adopt(version, *objects);
+                    self.activate(version, *objects);
                 }
                 intact
             }
@@ -154,7 +154,7 @@
                             return false;
                         }
                     }
-                    self.adopt(row.version, objects.clone());
+                    self.activate(row.version, objects.clone());
                     self.cache_recent(row);
                 }
                 true
@@ -196,7 +196,7 @@
         let current = self.current();
         let row = self.store.publish(publication, current.objects(), now).await?;
         let published = Published::from(&row);
-        self.adopt(row.version, publication.objects.clone());
+        self.activate(row.version, publication.objects.clone());
         // Lets peers fetch only the changes of this version instead of the complete set.
         self.cache_recent(row);
         Ok(published)
@@ -209,7 +209,7 @@
         }
         let from = (current.version(), current.objects());
         let (version, objects, rows) = self.store.catch_up(from, newest).await?;
-        self.adopt(version, objects);
+        self.activate(version, objects);
         for row in rows {
             self.cache_recent(row);
         }
@@ -217,28 +217,28 @@
     }
 
     /// Activates `version`, unless the same or a newer version is already active.
-    fn adopt(&self, version: ConfigVersion, objects: ObjectSet) {
-        let adopted = self.current.send_if_modified(|current| {
+    fn activate(&self, version: ConfigVersion, objects: ObjectSet) {
+        let activated = self.current.send_if_modified(|current| {
             let newer = version > current.version();
             if newer {
                 *current = Arc::new(ConfigSnapshot::new(version, objects));
             }
             newer
         });
-        if adopted {
+        if activated {
             self.metrics.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
             info!("event=config_adopted version={version}");
         }
     }
 }
 
-impl ConfigWatcher for Follower {
+impl ConfigWatcher for ConfigFollower {
     fn current(&self) -> Arc<ConfigSnapshot> {
         Self::current(self)
     }
 
     fn on_newer_version(&self, newer: NewerConfig) {
-        *self.newer_peer.borrow_mut() = Some(newer);
-        self.peer_has_newer.notify_one();
+        *self.newer_config.borrow_mut() = Some(newer);
+        self.newer_config_reported.notify_one();
     }
 }
--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -2,4 +2,4 @@
 
 mod follower;
 
-pub use follower::Follower;
+pub use follower::ConfigFollower;
