--- a/crates/daemon/benches/capacity/main.rs
+++ b/crates/daemon/benches/capacity/main.rs
@@ -3,8 +3,9 @@
 //!
 //! Runs real node processes with small stand-ins for all other services.
 //!
-//! Prints one line per point and writes all points and fitted slopes as JSON to the file named by
-//! `CAPACITY_OUT`, or to `capacity.json` in the working directory.
+//! Prints one line per point and per fitted line, and writes both as JSON to the file named by
+//! `CAPACITY_OUT`, or to `capacity.json` in the working directory. `CAPACITY_ONLY` selects
+//! scenarios by name, separated by commas; by default all scenarios run.
 
 mod probe;
 mod scenarios;
--- a/crates/daemon/benches/capacity/probe.rs
+++ b/crates/daemon/benches/capacity/probe.rs
@@ -12,15 +12,16 @@
 const WINDOW_DURATION: Duration = Duration::from_secs(4);
 /// Number of measurement windows per point.
 const WINDOWS_PER_POINT: usize = 3;
-/// Unit of the CPU times in `/proc/PID/stat`, in ticks per second.
+/// Clock ticks per second, the unit of the CPU times in `/proc/PID/stat`.
 const TICKS_PER_S: f64 = 100.0;
 /// Maximum number of nodes whose values are averaged.
 const SAMPLED_NODES_MAX: usize = 6;
 
-/// Values of one point: for each metric, one value per window.
+/// Measurements for one value of the varied quantity: one or more values for each metric.
 #[derive(Debug, Serialize)]
 pub struct Point {
     pub scenario: String,
+    /// Value of the varied quantity.
     pub x: f64,
     pub metrics: BTreeMap<String, Vec<f64>>,
 }
@@ -60,7 +61,8 @@
     counters: BTreeMap<String, f64>,
 }
 
-/// Measures the sampled nodes in [`WINDOWS_PER_POINT`] windows and adds the averages to `point`.
+/// Measures up to [`SAMPLED_NODES_MAX`] nodes in [`WINDOWS_PER_POINT`] windows; adds the average
+/// over the nodes for each window to `point`.
 pub async fn measure(fleet: &Fleet, point: &mut Point) {
     for _ in 0..WINDOWS_PER_POINT {
         let nodes = &fleet.nodes[..fleet.nodes.len().min(SAMPLED_NODES_MAX)];
@@ -82,6 +84,7 @@
     }
 }
 
+/// Adds the rates of one node in a window, and its memory at the end, to `sums`.
 fn add_window(
     sums: &mut BTreeMap<&'static str, f64>,
     before: &Sample,
@@ -151,6 +154,7 @@
     let stat = fs::read_to_string(path).unwrap_or_default();
     let fields: Vec<&str> =
         stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
+    // `utime` and `stime`, fields 14 and 15; two fields precede the text after the command name.
     let ticks = |index: usize| fields.get(index).and_then(|field| field.parse::<f64>().ok());
     (ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / TICKS_PER_S
 }
--- a/crates/daemon/benches/capacity/scenarios.rs
+++ b/crates/daemon/benches/capacity/scenarios.rs
@@ -10,6 +10,7 @@
 use crate::support::fleet::{ALPHA_KEY, Fleet, FleetOptions};
 use crate::support::http::{Http, eventually};
 
+// Values of the varied quantity in each scenario.
 const NODES: &[usize] = &[3, 6, 12, 24, 48];
 const TEAMS: &[usize] = &[10, 100, 1_000, 4_000];
 const PROGRAMS: &[usize] = &[100, 1_000, 5_000, 25_000];
@@ -108,6 +109,8 @@
     objects
 }
 
+/// Publishes `count` additional objects, then a change of one object, and measures how fast both
+/// reach all nodes.
 async fn objects_point(
     scenario: &str,
     count: usize,
@@ -194,7 +197,8 @@
     points
 }
 
-/// Sends single model calls at a constant rate until `stop` is set; returns how many failed.
+/// Sends model calls without a program at a constant rate until `stop` is set; returns how many
+/// failed.
 async fn send_calls(http: Http, listen: Vec<String>, per_s: usize, stop: Rc<Cell<bool>>) -> usize {
     if per_s == 0 {
         return 0;
@@ -252,8 +256,8 @@
     points
 }
 
-/// Publishes changes of one object at a constant rate until `stop` is set; returns the last
-/// version.
+/// Publishes at most `per_minute` changes of one object per minute until `stop` is set; returns the
+/// last version.
 async fn publish_changes(
     http: Http,
     operator: String,
--- a/crates/daemon/src/backend/chat.rs
+++ b/crates/daemon/src/backend/chat.rs
@@ -79,13 +79,14 @@
         self.max_completion_tokens.or(self.max_tokens)
     }
 
-    /// Returns an upper bound of the prompt length: each token is at least one byte of text.
+    /// Returns an upper bound of the number of tokens in the messages: each token is at least one
+    /// byte of text. Other fields, such as `tools`, are not counted.
     #[must_use]
     pub fn prompt_tokens_max(&self) -> u64 {
         self.messages.iter().map(|message| message.get().len() as u64).sum()
     }
 
-    /// Returns the request body for an engine, which always streams and reports usage.
+    /// Returns the request body for an engine, which asks for a stream and the token usage.
     #[must_use]
     pub fn for_engine(mut self, model: &str, max_tokens: u64) -> Vec<u8> {
         model.clone_into(&mut self.model);
@@ -198,7 +199,7 @@
     }
 }
 
-/// Appends a chunk of a tool call to the call with the same index.
+/// Appends the arguments in a chunk of a tool call to the call with that index, or adds a call.
 fn merge_tool_call(calls: &mut Vec<Value>, mut part: Value) {
     let index = part["index"].as_u64().and_then(|index| usize::try_from(index).ok()).unwrap_or(0);
     if let Some(fields) = part.as_object_mut() {
@@ -214,7 +215,7 @@
     }
 }
 
-/// Converts a complete chat completion to the only chunk of a stream.
+/// Converts a complete chat completion to a single chunk of a stream.
 #[must_use]
 pub fn single_chunk(body: &[u8]) -> Vec<u8> {
     let Ok(mut completion) = serde_json::from_slice::<Value>(body) else {
--- a/crates/daemon/src/backend/engine.rs
+++ b/crates/daemon/src/backend/engine.rs
@@ -24,7 +24,7 @@
 pub struct EngineCall {
     /// Identifier of the request, needed to resume or cancel it.
     pub request_id: String,
-    /// Program that the request belongs to; the engine uses it for its cache.
+    /// Program that the request belongs to; the engine keeps a cache per program.
     pub program: String,
     /// Scheduling priority; lower values run first.
     pub priority: u32,
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the engine cannot be reached, rejects the request or breaks off the stream.
+    /// Fails when the engine cannot be reached, rejects the request or sends an incomplete stream.
     async fn generate(
         &self,
         call: &EngineCall,
@@ -97,6 +97,7 @@
         }
     }
 
+    /// Requests the stream again, starting after the chunks already received.
     async fn resume(&self, call: &EngineCall, received_chunks: usize) -> Option<ClientResponse> {
         let url =
             format!("{}/v1/requests/{}?offset={received_chunks}", self.base_url, call.request_id);
--- a/crates/daemon/src/backend/release.rs
+++ b/crates/daemon/src/backend/release.rs
@@ -10,7 +10,7 @@
 
 use super::engine::{HttpEngine, ModelEngine as _};
 
-/// Maximum number of programs that are released concurrently.
+/// Maximum number of programs that one call releases, concurrently.
 const BATCH_MAX_PROGRAMS: usize = 64;
 
 /// Asks engines to release the memory of ended programs.
@@ -27,7 +27,8 @@
         Self { client, timeout }
     }
 
-    /// Releases programs; returns those for which all engines concerned confirmed the release.
+    /// Releases the first [`BATCH_MAX_PROGRAMS`] programs; returns those for which all engines that
+    /// may hold memory confirmed the release.
     pub async fn release(
         &self,
         config: &ConfigSnapshot,
--- a/crates/daemon/src/backend/service.rs
+++ b/crates/daemon/src/backend/service.rs
@@ -29,7 +29,8 @@
     pub idempotency_key: String,
     /// Program that the call belongs to.
     pub program: String,
-    /// Fencing token of the shard's owner, by which the service can reject calls of earlier owners.
+    /// Fencing token, by which the service can reject calls from an earlier owner of the program's
+    /// shard.
     pub fencing_number: u64,
 }
 
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -30,7 +30,7 @@
 pub enum Command {
     /// Runs a sample program through one node, with stand-ins for all other services.
     Trial(TrialArgs),
-    /// Runs a node on the users' platform, configured by the platform's settings file.
+    /// Runs a node on an entry VM, configured by the platform's settings file.
     Front(FrontArgs),
 }
 
@@ -42,7 +42,7 @@
     pub serve: bool,
 }
 
-/// Flags of a node on the users' platform.
+/// Flags of a node on an entry VM.
 #[derive(Debug, Clone, Args)]
 pub struct FrontArgs {
     /// Settings file that the platform writes.
@@ -81,7 +81,7 @@
     #[arg(long, env = "DANDELIONFRONT_PEER_ADVERTISE")]
     pub peer_advertise: Option<SocketAddr>,
 
-    /// Base URL of the platform's table service and object store.
+    /// Base URL of the platform's table service, object store and VM list.
     #[arg(long, env = "DANDELIONFRONT_PLATFORM", default_value = "http://127.0.0.1:9000")]
     pub platform: String,
 
@@ -93,7 +93,7 @@
     #[arg(long, env = "DANDELIONFRONT_ZONE", default_value = "local-a")]
     pub zone: String,
 
-    /// Number of worker threads for callers, and as many for forwarded calls.
+    /// Number of worker threads for callers; forwarded calls get the same number.
     #[arg(long, env = "DANDELIONFRONT_WORKERS", default_value_t = 2)]
     pub workers: usize,
 
@@ -101,7 +101,7 @@
     #[arg(long, env = "DANDELIONFRONT_SHARD_COUNT", default_value_t = 256)]
     pub shard_count: u32,
 
-    /// Interval between reads of the head row, in milliseconds.
+    /// Interval between checks for a new configuration or changed members, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_HEAD_POLL_MS", default_value_t = 1_000)]
     pub head_poll_ms: u64,
 
@@ -117,11 +117,11 @@
     #[arg(long, env = "DANDELIONFRONT_CHECKPOINT_INTERVAL_MS", default_value_t = 60_000)]
     pub checkpoint_interval_ms: u64,
 
-    /// Interval between heartbeats to each observer, in milliseconds.
+    /// Interval between heartbeats to each node that monitors this one, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_HEARTBEAT_MS", default_value_t = 1_000)]
     pub heartbeat_ms: u64,
 
-    /// Time without a heartbeat after which an observer suspects a member, in milliseconds.
+    /// Time without a heartbeat after which a node is suspected of having failed, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_SUSPECT_MS", default_value_t = 3_500)]
     pub suspect_ms: u64,
 
@@ -141,7 +141,7 @@
     #[arg(long, env = "DANDELIONFRONT_ORDER_WAIT_MS", default_value_t = 10_000)]
     pub order_wait_ms: u64,
 
-    /// Maximum time to wait for the commit that must precede a dispatch, in milliseconds.
+    /// Maximum time that a call waits for the commit that records its start, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_START_COMMIT_WAIT_MS", default_value_t = 2_000)]
     pub start_commit_wait_ms: u64,
 
@@ -149,8 +149,8 @@
     #[arg(long, env = "DANDELIONFRONT_END_COMMIT_WAIT_MS", default_value_t = 10_000)]
     pub end_commit_wait_ms: u64,
 
-    /// Maximum time from the start of the commit that precedes a dispatch to the dispatch, in
-    /// milliseconds.
+    /// Maximum time from the beginning of the commit that records a call's start to the dispatch,
+    /// in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_DISPATCH_WINDOW_MS", default_value_t = 3_000)]
     pub dispatch_window_ms: u64,
 
@@ -158,7 +158,7 @@
     #[arg(long, env = "DANDELIONFRONT_OWNER_WAIT_MS", default_value_t = 15_000)]
     pub owner_wait_ms: u64,
 
-    /// Idle time after which the stream of an engine is resumed, in milliseconds.
+    /// Timeout of requests to engines, and idle time before a stream is resumed, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_ENGINE_SILENCE_MS", default_value_t = 10_000)]
     pub engine_silence_ms: u64,
 
@@ -166,7 +166,7 @@
     #[arg(long, env = "DANDELIONFRONT_SERVICE_TIMEOUT_MS", default_value_t = 30_000)]
     pub service_timeout_ms: u64,
 
-    /// Time after which a call without a waiting caller is cancelled, in milliseconds.
+    /// Time after which a model call without a waiting caller is cancelled, in milliseconds.
     #[arg(long, env = "DANDELIONFRONT_ABANDON_MS", default_value_t = 10_000)]
     pub abandon_ms: u64,
 
@@ -178,7 +178,7 @@
     #[arg(long, env = "DANDELIONFRONT_PROGRAM_IDLE_S", default_value_t = 900)]
     pub program_idle_s: u64,
 
-    /// Maximum size of a request body, in bytes.
+    /// Maximum size of a caller's request body, in bytes.
     #[arg(long, env = "DANDELIONFRONT_BODY_MAX_BYTES", default_value_t = 4_194_304)]
     pub body_max_bytes: usize,
 
--- a/crates/daemon/src/connection/clients.rs
+++ b/crates/daemon/src/connection/clients.rs
@@ -12,7 +12,7 @@
 const KEEP_ALIVE: Seconds = Seconds(15);
 /// Age at which a connection is closed.
 const CONNECTION_MAX_AGE: Seconds = Seconds(120);
-/// Connection limit of one client over all addresses; the default of 8 is too low.
+/// Maximum number of connections of one client to all addresses; the default of 8 is too low.
 const CONNECTIONS_MAX: usize = 16_384;
 
 /// Separate HTTP clients for peers, model engines and plain services.
@@ -60,7 +60,7 @@
         .await
 }
 
-/// Returns whether `error` proves that no byte of the request was sent.
+/// Returns whether `error` proves that no byte of the request was sent; `false` proves nothing.
 #[must_use]
 pub fn proves_not_sent(error: &ClientError) -> bool {
     match error {
--- a/crates/daemon/src/connection/forward.rs
+++ b/crates/daemon/src/connection/forward.rs
@@ -33,14 +33,14 @@
     Open(ProgramSpec),
     /// Reads the state and history of a program.
     Get {
-        /// Program.
+        /// Program to read.
         id: ProgramId,
         /// Team of the requester; `None` for an operator.
         team: Option<String>,
     },
     /// Ends a program.
     Close {
-        /// Program.
+        /// Program to end.
         id: ProgramId,
         /// Team of the requester; `None` for an operator.
         team: Option<String>,
@@ -66,7 +66,7 @@
 /// Failure of a request to another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardError {
-    /// The connection could not be opened; nothing was sent.
+    /// Nothing was sent: the owner is unknown or refused the connection, or the request is invalid.
     NeverSent,
     /// The request may have been sent, but no valid response arrived.
     Lost,
@@ -82,7 +82,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the owner does not respond within `response_timeout`.
+    /// Fails when the owner cannot be reached or does not accept the call within
+    /// `response_timeout`.
     pub async fn send(
         client: &Client,
         address: &str,
@@ -96,7 +97,8 @@
         Ok(Self { events: response.take_payload().eventsource() })
     }
 
-    /// Returns the next event, or `None` if the connection fails or is idle for `idle_timeout`.
+    /// Returns the next event except keep-alives, or `None` if the connection fails, is idle for
+    /// `idle_timeout` or delivers a malformed event.
     pub async fn next(&mut self, idle_timeout: Duration) -> Option<CallEvent> {
         loop {
             let event = timeout(idle_timeout, self.events.next()).await.ok()??.ok()?;
@@ -111,7 +113,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the owner does not respond within `response_timeout`.
+/// Fails when the owner cannot be reached or sends no valid reply within `response_timeout`.
 pub async fn send_program_request(
     client: &Client,
     address: &str,
--- a/crates/daemon/src/connection/peers.rs
+++ b/crates/daemon/src/connection/peers.rs
@@ -35,7 +35,7 @@
 /// RPC interface of a node for control messages.
 #[rpc(server, client)]
 pub trait PeerRpc {
-    /// Receives a heartbeat of the sender.
+    /// Processes a heartbeat from another node.
     #[method(name = "heartbeat")]
     async fn heartbeat(&self, beat: Heartbeat) -> RpcResult<HeartbeatReply>;
 
@@ -44,6 +44,8 @@
     async fn suspects(&self, target: IncarnationId) -> RpcResult<bool>;
 
     /// Takes a token from this node's share of a team's limit.
+    ///
+    /// `row_version` is the version of the limit's split that the sender knows.
     #[method(name = "take")]
     async fn take(&self, team: TeamId, row_version: u64) -> RpcResult<TakeReply>;
 
@@ -51,7 +53,7 @@
     #[method(name = "limit_moved")]
     async fn limit_moved(&self, team: TeamId, row_version: u64) -> RpcResult<()>;
 
-    /// Returns the configuration updates after a version.
+    /// Returns the configuration changes after `version`, or the complete configuration.
     #[method(name = "config_after")]
     async fn config_after(&self, version: ConfigVersion) -> RpcResult<ConfigTransfer>;
 }
--- a/crates/daemon/src/consts.rs
+++ b/crates/daemon/src/consts.rs
@@ -12,7 +12,7 @@
 pub const FENCING_NUMBER_HEADER: &str = "fencing-number";
 /// Header with the scheduling priority for an engine; lower values run first.
 pub const PRIORITY_HEADER: &str = "priority";
-/// Header with the remaining time of a request, in milliseconds.
+/// Header with the time that the node waits for the backend server, in milliseconds.
 pub const DEADLINE_HEADER: &str = "deadline-ms";
 
 /// Content type of server-sent events.
--- a/crates/daemon/src/crash.rs
+++ b/crates/daemon/src/crash.rs
@@ -1,9 +1,9 @@
-//! Crash points, at which a debug build can abort or stop the process.
+//! Crash points, at which a debug build can abort the process or suspend it with SIGSTOP.
 //!
 //! `DANDELIONFRONT_CRASH_POINT=STEP:ACTION` executes ACTION, `abort` or `stop`, when the crash
 //! point named STEP is hit for the first time. Release builds contain no crash points.
 
-/// Point in the execution of a non-repeatable call at which the process can abort or stop.
+/// Point in the execution of a non-repeatable call at which the process can abort or be suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashPoint {
     /// The call has reached the owner of its program.
@@ -48,8 +48,8 @@
         }
         log::warn!("event=crash_point step={configured} action={action}");
         if action == "stop" {
-            // Raised on this thread, because a signal to the process may stop another thread first
-            // while this thread continues beyond the crash point.
+            // Raised on this thread, because a signal to the process may suspend another thread
+            // first while this thread continues beyond the crash point.
             if let Err(error) = raise(SIGSTOP) {
                 log::error!("event=crash_point_failed step={configured} cause=\"{error}\"");
             }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Aborts or stops the process if `point` is the configured crash point.
+/// Aborts or suspends the process if `point` is the configured crash point.
 #[cfg(debug_assertions)]
 pub fn hit(point: CrashPoint) {
     active::hit(point);
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,8 +1,8 @@
 //! The dandelionfront daemon: accepts calls over HTTP and forwards them to model engines and plain
 //! services.
 //!
-//! Modules are split by lifetime: [`process`] for the node, [`version`] for the active
-//! configuration, [`connection`] for connections to other nodes, [`request`] for a single call.
+//! State is grouped by how long it lives: [`process`] for the node, [`version`] for the active
+//! configuration, [`connection`] for connections to other nodes, [`request`] for a single request.
 
 pub mod backend;
 pub mod cli;
--- a/crates/daemon/src/logs.rs
+++ b/crates/daemon/src/logs.rs
@@ -13,7 +13,7 @@
     dispatch(level).chain(std::io::stderr()).apply()
 }
 
-/// Returns a logger with the line format and the levels, but without an output.
+/// Returns a logger that has its format and levels set but no output yet.
 ///
 /// The level is `level` for the crates of this project and `warn` for other libraries.
 pub fn dispatch(level: LevelFilter) -> fern::Dispatch {
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -7,11 +7,12 @@
 use dandelionfront::settings::Settings;
 use dandelionfront::{front, logs, process};
 
-/// Exit code for invalid settings.
+/// Exit code for invalid usage.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
+    // This command installs a logger of its own.
     if let Some(Command::Front(args)) = &cli.command {
         return front::run(args, cli.log_level);
     }
--- a/crates/daemon/src/operator/config.rs
+++ b/crates/daemon/src/operator/config.rs
@@ -42,9 +42,10 @@
 
 /// Failure to publish a change of individual objects.
 enum EditError {
-    /// The object to change does not exist, or the object to create already exists.
+    /// The change was not attempted: its object is missing or already exists, or the node is
+    /// stopping.
     Rejected(String),
-    /// The publication failed.
+    /// The configuration could not be read or published.
     Publish(PublishError),
 }
 
@@ -135,7 +136,7 @@
     edit_response(edit_objects(&worker, unnamed_author(), edit).await)
 }
 
-/// Drains a backend server: it gets no new calls.
+/// Drains a backend server, so that it gets no new calls.
 pub async fn drain_backend(worker: State<Rc<Worker>>, name: Path<String>) -> HttpResponse {
     let name = name.into_inner();
     let edit = move |objects: &mut ObjectSet| match objects.backend.get_mut(&name) {
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -21,9 +21,11 @@
     zone: String,
     draining: bool,
     config_version: u64,
+    /// Whether the shards are reconciled and the limits of the active configuration are prepared.
     settled: bool,
     shards: usize,
     programs: usize,
+    /// Time since the head row was last read; `None` before the first read.
     head_age_ms: Option<u64>,
     commits: u64,
     commit_retries: u64,
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -36,7 +36,7 @@
 
 /// Delay between attempts to register the node.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Interval between runs that release engine memory.
+/// Interval between runs that end abandoned programs and release engine memory.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(500);
@@ -108,7 +108,7 @@
         &self.dispatcher
     }
 
-    /// Returns the follower, which holds the active configuration.
+    /// Returns the follower, which keeps the configuration of this node up to date.
     #[must_use]
     pub fn config_follower(&self) -> &ConfigFollower {
         &self.config_follower
@@ -131,8 +131,8 @@
         &self.platform
     }
 
-    /// Runs the tasks of other threads and the node, which restarts as a new incarnation when it is
-    /// fenced.
+    /// Runs the node and the tasks that other threads send; a fenced node restarts as a new
+    /// incarnation.
     pub async fn serve(self: Rc<Self>, mut tasks: mpsc::UnboundedReceiver<ControlTask>) {
         ntex::rt::spawn(Rc::clone(&self).run_incarnations());
         ntex::rt::spawn(Rc::clone(&self).update_gauges());
@@ -157,11 +157,11 @@
         Ok(admission)
     }
 
-    /// Takes a rate limit token of `team` for a request.
+    /// Takes a rate limit token of `team`, waiting up to `token_wait` for one.
     ///
     /// # Errors
     ///
-    /// Refuses when the team exceeds its rate and burst.
+    /// Refuses when the team exceeds its rate and burst, or no holder of its limit can be reached.
     pub async fn acquire_token(&self, team: &TeamId) -> Result<(), Refusal> {
         let config = self.config_follower.current();
         let Some(limit) = config.team_limit(team) else { return Ok(()) };
@@ -177,7 +177,8 @@
         node.limits().take_own(team, row_version, limit, &node.membership().members()).await
     }
 
-    /// Records the result of an attempt, unless an earlier incarnation of this node started it.
+    /// Records the result of an attempt; if an earlier incarnation of this node started it, only
+    /// refuses the waiting callers.
     pub async fn finish(&self, ticket: &CallTicket, request: &CallRequest, end: AttemptEnd) {
         let node = self.node();
         if node.incarnation().id() == ticket.incarnation {
@@ -191,17 +192,19 @@
         }
     }
 
-    /// Selects a backend server for `route`, or else for one of its fallback routes.
+    /// Selects a backend server that is not in `tried` for `route`, or for the first fallback route
+    /// that has one.
     ///
     /// # Errors
     ///
-    /// Refuses when no backend server can take the call.
+    /// Refuses when no backend server can take the call, or when the route was removed.
     pub fn place(
         &self,
         program: &str,
         route: &str,
         tried: &[BackendId],
     ) -> Result<Placement, Refusal> {
+        // The servers tried before have no recorded answer but may hold memory for the program.
         if !tried.is_empty() {
             self.node().owner().mark_unrecorded_backends(program);
         }
@@ -237,7 +240,7 @@
         Ok(id)
     }
 
-    /// Ends a program that this node serves.
+    /// Ends a program that this node serves and its sub-agents; returns the ids of all that ended.
     ///
     /// # Errors
     ///
@@ -268,7 +271,11 @@
         node.owner().program(id, team).ok_or_else(Refusal::program_unknown)
     }
 
-    /// Returns the node and the shard of a program if this node serves it.
+    /// Returns the current incarnation of this node and the shard of a program.
+    ///
+    /// # Errors
+    ///
+    /// Refuses when this node does not serve the shard.
     fn serving_node(&self, program: &str) -> Result<(Rc<Node>, ShardId), Refusal> {
         let home = home_of_program(program).ok_or_else(Refusal::program_unknown)?;
         let node = self.node();
--- a/crates/daemon/src/process/handle.rs
+++ b/crates/daemon/src/process/handle.rs
@@ -61,7 +61,7 @@
         result.await.map_err(|_| stopped())
     }
 
-    /// Returns the location of the node that serves programs of `home`.
+    /// Returns where to send requests for the programs of a region and shard.
     ///
     /// # Errors
     ///
@@ -71,11 +71,11 @@
         self.run(move |control| async move { control.node().locate(&home) }).await
     }
 
-    /// Takes a rate limit token of `team` for a request.
+    /// Takes a rate limit token of `team`, waiting up to `token_wait` for one.
     ///
     /// # Errors
     ///
-    /// Refuses when the team exceeds its rate and burst.
+    /// Refuses when the team exceeds its rate and burst, or no holder of its limit can be reached.
     pub async fn acquire_token(&self, team: TeamId) -> Result<(), Refusal> {
         self.run(move |control| async move { control.acquire_token(&team).await }).await?
     }
@@ -103,11 +103,11 @@
         self.run(move |control| async move { control.finish(&ticket, &request, end).await }).await
     }
 
-    /// Selects a backend server for an attempt.
+    /// Selects a backend server that is not in `tried` for an attempt.
     ///
     /// # Errors
     ///
-    /// Refuses when no backend server can take the call.
+    /// Refuses when no backend server can take the call, or when the route was removed.
     pub async fn place(
         &self,
         program: &ProgramId,
@@ -136,7 +136,7 @@
         self.run(move |control| async move { control.open_program(spec).await }).await?
     }
 
-    /// Ends a program that this node serves.
+    /// Ends a program that this node serves and its sub-agents; returns the ids of all that ended.
     ///
     /// # Errors
     ///
--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -32,14 +32,14 @@
 use crate::request::{chat, forwarded, programs, service};
 use crate::settings::Settings;
 
-/// Interval between checks whether the graceful shutdown can continue.
+/// Interval between checks and retries during the graceful shutdown.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for which the listeners stay open after the last call, because the load balancer notices
-/// the shutdown late.
+/// Delay before the listeners close after the last call or the drain deadline, because the load
+/// balancer notices the shutdown late.
 const LISTENER_CLOSE_DELAY: Duration = Duration::from_secs(1);
-/// Timeout for connections to close after the last call; then idle connections are dropped.
+/// Time that open connections have to finish when a listener stops; then the rest is dropped.
 const CLOSE_TIMEOUT: Seconds = Seconds(2);
-/// Time after which idle connections of callers and peers are closed.
+/// Time after which idle connections from callers, operators and forwarding nodes are closed.
 const KEEP_ALIVE: Seconds = Seconds(75);
 /// Time after which idle connections from the control thread to the platform and to engines are
 /// closed.
@@ -237,7 +237,7 @@
 ) -> io::Result<Server> {
     let shared = Arc::clone(shared);
     let server = HttpServer::new(async move || {
-        let clients = Clients::new().await.expect("client settings are constants");
+        let clients = Clients::new().await.expect("HTTP client settings are valid");
         let limit = shared.settings.body_max_bytes;
         let worker = Worker { shared: Arc::clone(&shared), clients: Rc::new(clients) };
         App::new()
@@ -255,7 +255,7 @@
     Ok(server)
 }
 
-/// Maximum body size of requests from other nodes and from operators.
+/// Maximum size of JSON bodies from other nodes and from operators.
 const INTERNAL_BODY_MAX_BYTES: usize = 256 * 1024 * 1024;
 
 /// Registers the handlers of the listener for callers.
--- a/crates/daemon/src/process/metrics.rs
+++ b/crates/daemon/src/process/metrics.rs
@@ -8,15 +8,15 @@
 /// Reason for a retry, which is also a label of the retry counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryReason {
-    /// The owner of the program could not be reached.
+    /// The owner of the program is unknown or could not be reached.
     OwnerUnreachable,
     /// The program was moving between nodes.
     OwnerMoved,
-    /// The connection to the owner failed while a call was running.
+    /// The owner may have received the request, but the connection failed or timed out.
     OwnerLost,
-    /// The backend server could not be reached.
+    /// The backend server could not be reached or was overloaded.
     BackendUnreachable,
-    /// The backend server rejected the request without running it.
+    /// Exported but never counted; overload counts as `BackendUnreachable`.
     BackendBusy,
     /// The stream of an engine was interrupted or idle and was resumed.
     StreamResumed,
@@ -44,13 +44,14 @@
     pub calls_in_flight: IntGauge,
     /// Number of calls answered.
     pub calls_answered: IntCounter,
-    /// Time from the arrival of a call to its complete answer.
+    /// Time from the arrival of a call to its complete answer; refused calls are not counted.
     pub call_seconds: Histogram,
-    /// Time from the opening to the end of a program.
+    /// Time from the opening to the end of a program that was ended by a request.
     pub program_seconds: Histogram,
-    /// Time from the arrival of a call to its first token.
+    /// Time from the arrival of a chat completion request to the first event of its call: a chunk,
+    /// the complete answer or a refusal.
     pub first_token_seconds: Histogram,
-    /// Time between consecutive tokens of a stream.
+    /// Time spent waiting for each event of a stream after the first.
     pub between_tokens_seconds: Histogram,
     /// Duration of journal commits.
     pub commit_seconds: Histogram,
@@ -60,9 +61,10 @@
     pub peer_sent_bytes: IntCounter,
     /// Bytes received on peer connections that this node opened.
     pub peer_received_bytes: IntCounter,
-    /// Number of control messages answered.
+    /// Number of control messages received.
     pub peer_messages: IntCounter,
-    /// Number of requests to the platform, by kind.
+    /// Number of requests to the platform by kind, without deletions of objects and reads of the VM
+    /// list.
     pub platform_requests: IntCounterVec,
     /// Number of shards that this node owns.
     pub shards: IntGauge,
@@ -129,7 +131,7 @@
         String::from_utf8_lossy(&self.registry.render()).into_owned()
     }
 
-    /// Creates the counters of all labels, so that they are exported as 0 before the first event.
+    /// Creates the refusal and retry counters, so that they are exported as 0 before any event.
     fn init_labels(&self) {
         for kind in RefusalKind::all() {
             self.refusals.with_label_values(&[kind.label()]);
--- a/crates/daemon/src/process/mod.rs
+++ b/crates/daemon/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! State with the lifetime of the process: threads, listeners, shared state, graceful shutdown.
+//! State of the process: threads, listeners, shared state, graceful shutdown.
 
 pub mod clock;
 pub mod control;
--- a/crates/daemon/src/process/platform.rs
+++ b/crates/daemon/src/process/platform.rs
@@ -87,8 +87,8 @@
     PlatformError::Malformed { detail: error.to_string() }
 }
 
-/// Distinguishes status 503, which guarantees that the request had no effect, from other error
-/// statuses, after which the effect is unknown.
+/// Accepts success and 404; status 503 guarantees that the request had no effect, after any other
+/// status its effect is unknown.
 fn check_status(response: ClientResponse) -> PlatformResult<ClientResponse> {
     match response.status() {
         status if status.is_success() || status == StatusCode::NOT_FOUND => Ok(response),
--- a/crates/daemon/src/process/shared.rs
+++ b/crates/daemon/src/process/shared.rs
@@ -1,4 +1,4 @@
-//! State of the worker threads.
+//! State shared by all threads, and state of one worker thread.
 
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/daemon/src/registry.rs
+++ b/crates/daemon/src/registry.rs
@@ -6,8 +6,9 @@
     TextEncoder,
 };
 
-/// Upper bounds of the histogram buckets for durations, in seconds; they include the users' latency
-/// targets.
+/// Upper bounds of the histogram buckets for durations, in seconds.
+///
+/// They include the users' latency targets: 0.027 between tokens and 1.6 for the first token.
 const LATENCY_BUCKETS_S: &[f64] =
     &[0.001, 0.0025, 0.005, 0.01, 0.027, 0.05, 0.1, 0.25, 0.5, 1.0, 1.6, 2.5, 5.0, 10.0, 30.0];
 
@@ -51,7 +52,12 @@
         text
     }
 
-    /// Registers a metric; names and labels are constants, so any test detects an invalid one.
+    /// Registers a metric.
+    ///
+    /// # Panics
+    ///
+    /// Panics on an invalid or duplicate name; names and labels are constants, so any test detects
+    /// this.
     fn register<M: Collector + Clone + 'static>(&self, metric: prometheus::Result<M>) -> M {
         let metric = metric.expect("metric names and labels are valid");
         self.0.register(Box::new(metric.clone())).expect("metric names are unique");
--- a/crates/daemon/src/request/auth.rs
+++ b/crates/daemon/src/request/auth.rs
@@ -7,7 +7,7 @@
 use ntex::web::HttpRequest;
 use tokio::sync::watch;
 
-/// Team of requests without a key, which only routes that are open to all accept.
+/// Team of requests without a key, which are accepted only on routes that are open to all.
 pub const ANONYMOUS_TEAM: &str = "-open-";
 
 const BEARER: &str = "Bearer ";
@@ -44,7 +44,7 @@
     )
 }
 
-/// Detects that a caller's key becomes invalid while its request runs.
+/// Detects when a caller's key becomes invalid while its request runs.
 #[derive(Debug, Clone)]
 pub struct KeyWatcher {
     caller: Option<Caller>,
@@ -52,7 +52,7 @@
 }
 
 impl KeyWatcher {
-    /// Creates a guard for `caller`; a request without a key is never interrupted.
+    /// Creates a watcher for `caller`; without a caller, it never completes.
     #[must_use]
     pub fn new(caller: Option<Caller>, config: watch::Receiver<Arc<ConfigSnapshot>>) -> Self {
         Self { caller, config }
--- a/crates/daemon/src/request/chat.rs
+++ b/crates/daemon/src/request/chat.rs
@@ -104,8 +104,8 @@
     })
 }
 
-/// Responds with an event stream or a complete body, as the caller asked; a refusal that comes
-/// before any chunk is a plain error response.
+/// Responds with an event stream or a complete body, as the caller asked; a refusal becomes an
+/// error response unless the stream has already started.
 async fn respond(
     worker: &Worker,
     mut stream: CallStream,
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -19,7 +19,7 @@
 use crate::process::Worker;
 use crate::process::metrics::RetryReason;
 
-/// Maximum number of backend servers tried in one attempt.
+/// Maximum number of backend servers that one attempt is sent to.
 const BACKENDS_PER_ATTEMPT_MAX: usize = 3;
 /// Interval between checks whether a call was abandoned.
 const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(100);
@@ -51,7 +51,7 @@
     }
 }
 
-/// Hits a crash point, but only for a call that is not repeatable.
+/// Hits a crash point if the call is not repeatable.
 pub fn hit_crash_point(repeatable: bool, point: CrashPoint) {
     if !repeatable {
         crash::hit(point);
@@ -82,7 +82,7 @@
         let reason =
             retry_reason(request, &result).filter(|_| tried.len() < BACKENDS_PER_ATTEMPT_MAX);
         let Some(reason) = reason else {
-            // A refusal by this backend server does not show whether an earlier one ran the call.
+            // If an earlier backend server may have run the call, the outcome stays unknown.
             return result.map(|answer| (answer, backend)).map_err(|error| lost.unwrap_or(error));
         };
         if let Err(error @ BackendError::Lost(_)) = result {
@@ -101,7 +101,7 @@
         Err(BackendError::NotRun(refusal)) if refusal.kind == RefusalKind::NoBackend => {
             Some(RetryReason::BackendUnreachable)
         }
-        // Not for streams: the caller may have received chunks from which another run would differ.
+        // Streams are not retried: the chunks of another run may differ from those already sent.
         Err(BackendError::Lost(_)) if request.repeatable && !request.stream => {
             Some(RetryReason::AttemptLost)
         }
@@ -149,6 +149,7 @@
     let call = EngineCall {
         request_id: format!("{}-{}-{}", ticket.program, ticket.key.sequence, ticket.key.attempt),
         program: ticket.program.clone(),
+        // All calls have the same priority.
         priority: 0,
         body: request.body.0.clone(),
         route: request.route.clone(),
--- a/crates/daemon/src/request/forwarded.rs
+++ b/crates/daemon/src/request/forwarded.rs
@@ -1,4 +1,4 @@
-//! Handlers for calls and program requests that other nodes forward to their owner, this node.
+//! Handlers for calls and program requests that other nodes forward to this node, the owner.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -31,6 +31,7 @@
         .service(web::resource(PROGRAM_PATH).route(web::post().to(forwarded_program)));
 }
 
+/// State of the event stream of a forwarded call.
 enum Stage {
     Admitting(LocalBoxFuture<'static, Result<FeedReader, Refusal>>),
     Streaming(FeedReader),
@@ -95,7 +96,6 @@
     sse_event(&serde_json::to_string(call_event).unwrap_or_default())
 }
 
-/// Returns a keep-alive event.
 fn keep_alive_event() -> Bytes {
     Bytes::from(format!("event: {KEEP_ALIVE_EVENT}\ndata: {{}}\n\n"))
 }
--- a/crates/daemon/src/request/mod.rs
+++ b/crates/daemon/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! State and handlers with the lifetime of one request.
+//! Request handlers and the state of a single request.
 
 pub mod answer;
 pub mod auth;
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Ends a program, on whichever node it is served.
+/// Ends a program that any node may serve.
 ///
 /// # Errors
 ///
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reads a program with all bodies, on whichever node it is served.
+/// Reads a program that any node may serve, with all request and answer bodies.
 ///
 /// # Errors
 ///
@@ -182,7 +182,7 @@
     }
 }
 
-/// Returns a home for a new program: a random shard that this node serves, or any shard of the
+/// Selects the shard of a new program: a random one that this node serves, or any shard of the
 /// region if this node serves none.
 async fn select_home(worker: &Worker) -> Result<ProgramHome, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
@@ -204,7 +204,7 @@
     Ok(caller.team)
 }
 
-/// Sends a program request to the owner of `home`; retries until `owner_wait` has elapsed.
+/// Sends a program request to the owner of its shard; retries until `owner_wait` has elapsed.
 async fn send_to_owner(
     worker: &Worker,
     home: &ProgramHome,
@@ -238,6 +238,7 @@
     }
 }
 
+/// Sends a program request once; the inner error can be retried, the outer one cannot.
 async fn try_send_to_owner(
     worker: &Worker,
     home: &ProgramHome,
--- a/crates/daemon/src/request/routes.rs
+++ b/crates/daemon/src/request/routes.rs
@@ -1,4 +1,4 @@
-//! Shared helpers of the handlers for callers: call identity, request body, route, call metrics.
+//! Shared helpers of the handlers for callers: call identity, body, route access, call metrics.
 
 use std::time::{Duration, Instant};
 
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// Refuses bodies above the size limit and bodies that are cut off.
+/// Refuses bodies above the size limit and incomplete bodies.
 pub async fn read_body(worker: &Worker, mut payload: types::Payload) -> Result<Bytes, Refusal> {
     let limit = worker.shared.settings.body_max_bytes;
     let mut body = BytesMut::new();
@@ -94,11 +94,12 @@
     Ok(body.freeze())
 }
 
-/// Takes a rate limit token of the caller's team; called once per request, before forwarding.
+/// Takes a rate limit token of the caller's team, if the caller has a key; called once per request,
+/// before forwarding.
 ///
 /// # Errors
 ///
-/// Refuses when the team exceeds its rate and burst.
+/// Refuses when the team exceeds its rate and burst, or no holder of its limit can be reached.
 pub async fn acquire_team_token(worker: &Worker, call: &CallRequest) -> Result<(), Refusal> {
     if call.team == ANONYMOUS_TEAM {
         return Ok(());
@@ -106,11 +107,11 @@
     worker.shared.control.acquire_token(call.team.clone()).await
 }
 
-/// Returns the route of a request and the team that it runs for.
+/// Returns the requested route and the team of the call.
 ///
 /// # Errors
 ///
-/// Refuses unknown routes, and requests without a key on routes that are not open to all.
+/// Refuses routes that are unknown or not open to the caller.
 pub fn authorize_route<'a>(
     config: &'a ConfigSnapshot,
     route: &str,
@@ -140,7 +141,7 @@
     Refusal::not_run(RefusalKind::InvalidRequest, message)
 }
 
-/// Counts a call as in flight until it is dropped.
+/// Counts a call as in flight until the guard is dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     metrics: Metrics,
@@ -161,7 +162,7 @@
         self.arrived.elapsed()
     }
 
-    /// Records that the complete answer was sent to the caller.
+    /// Records that the complete answer is available.
     pub fn answered(&self) {
         self.metrics.calls_answered.inc();
         self.metrics.call_seconds.observe(self.elapsed().as_secs_f64());
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -30,8 +30,9 @@
 /// Idle timeout of the event stream from an owner, which sends keep-alive events.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Origin of the events of a call.
 enum Source {
-    /// No owner is connected.
+    /// No owner is connected yet, or the connection was lost.
     Disconnected,
     /// This node is the owner.
     Local(FeedReader),
@@ -49,13 +50,16 @@
     source: Source,
     /// Whether an owner that failed may have run the call.
     may_have_run: bool,
+    /// Monotonic time until which connecting to an owner is retried.
     deadline: Duration,
+    /// Chunks passed to the caller.
     delivered: StreamPrefix,
+    /// Chunks received from the owner since the last connection.
     received: StreamPrefix,
 }
 
-/// Number and digest of the first chunks of a stream. After a reconnection they show whether the
-/// new stream starts with the chunks that the caller already received.
+/// Number and digest of the chunks received so far; after a reconnection they show whether the new
+/// stream repeats the chunks that the caller already received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct StreamPrefix {
     chunks: usize,
@@ -177,6 +181,7 @@
         Ok(None)
     }
 
+    /// Replaces the last event if the repeated stream is incomplete or the outcome is unknown.
     fn check_last_event(&self, event: CallEvent) -> CallEvent {
         match event {
             CallEvent::Finished(_) if self.received != self.delivered => {
@@ -259,7 +264,7 @@
 /// Refuses as documented at [`dandelionfront_coordination::Owner::admit`].
 pub async fn admit_local(worker: &Worker, request: &CallRequest) -> Result<FeedReader, Refusal> {
     let (reply, admitted) = oneshot::channel();
-    // Runs in a separate task, because an admitted call must end even if its caller disconnects.
+    // Runs in a separate task, so that an admitted call completes even if its caller disconnects.
     ntex::rt::spawn(admit_and_run(worker.clone(), request.clone(), reply));
     admitted.await.unwrap_or_else(|_| Err(Refusal::outcome_unknown()))
 }
@@ -282,7 +287,7 @@
     let _ = reply.send(result);
 }
 
-/// Returns a reader that receives a recorded answer.
+/// Returns a reader of a recorded answer.
 async fn read_recorded(worker: &Worker, stored: StoredAnswer) -> Result<FeedReader, Refusal> {
     let StoredAnswer { status, content_type, body } = stored;
     let load = move |control: Rc<Control>| async move { control.load_body(&body).await };
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -39,7 +39,7 @@
     pub operator_listen: SocketAddr,
     /// Base URL of the platform.
     pub platform: String,
-    /// Identity of this node in the fleet.
+    /// Member entry of this node: id, addresses, region and zone.
     pub identity: Member,
     /// Number of worker threads of each listener for calls.
     pub workers: usize,
@@ -53,13 +53,13 @@
     pub engine_silence: Duration,
     /// Timeout of calls to plain services.
     pub service_timeout: Duration,
-    /// Time after which a call without a waiting caller is cancelled.
+    /// Time after which a model call without a waiting caller is cancelled.
     pub abandon_after: Duration,
     /// Interval between reads of the platform's VM list.
     pub vm_poll: Duration,
     /// Time without a call after which a program is ended as abandoned.
     pub program_idle: Duration,
-    /// Maximum size of a request body.
+    /// Maximum size of a caller's request body, in bytes.
     pub body_max_bytes: usize,
     /// Maximum time that a graceful shutdown waits for running calls.
     pub drain_max: Duration,
@@ -76,7 +76,7 @@
         if errors.is_empty() { Ok(Self::build(args)) } else { Err(errors) }
     }
 
-    /// Sets the advertised addresses that were not configured to the bound listener addresses.
+    /// Advertises the addresses of the bound listeners where no other address was configured.
     pub fn fill_advertised_addresses(&mut self) {
         if self.identity.forward_address.is_empty() {
             self.identity.forward_address = self.forward_listen.to_string();
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -1,4 +1,4 @@
-//! Keeps the active configuration up to date with the version in the head row.
+//! Keeps the active configuration up to date with the newest published version.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -81,7 +81,7 @@
         &self.store
     }
 
-    /// Activates each newer version that the head row names or that a peer has.
+    /// Activates newer versions as the head row or a peer reports them.
     pub async fn follow(&self, mut head: watch::Receiver<Head>) {
         loop {
             let newest = head.borrow_and_update().config_version;
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Fetches a newer version from a peer, if one is known to have it; returns `false` if the
-    /// fetch failed.
+    /// Activates the newer version that a peer reported, if any; returns `false` if it could not be
+    /// fetched or applied.
     async fn catch_up_from_peer(&self) -> bool {
         let Some(newer) = self.newer_config.borrow_mut().take() else { return true };
         let current = self.current();
@@ -162,8 +162,10 @@
         }
     }
 
-    /// Caches the changes of a version for peers that lag behind; changes that are too large to be
-    /// stored inline clear the cache.
+    /// Caches the changes of a version for peers that lag behind.
+    ///
+    /// The cache holds consecutive versions; a gap, or changes that are too large to be stored
+    /// inline, clears it.
     fn cache_recent(&self, row: VersionRow) {
         let mut recent = self.recent.borrow_mut();
         if !matches!(row.changes, Body::Inline(_)) {
--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -1,4 +1,4 @@
-//! State with the lifetime of one published configuration, and the switch to the next one.
+//! The active configuration and the switch to newer versions.
 
 mod follower;
 
