--- a/crates/daemon/src/backend/release.rs
+++ b/crates/daemon/src/backend/release.rs
@@ -44,6 +44,7 @@
     async fn release_one(&self, config: &ConfigSnapshot, ended: &UnreleasedProgram) -> bool {
         let objects = config.objects();
         let is_engine = |served: &String| objects.model.contains_key(served);
+        // If some engines of the program are not recorded, all engines are asked.
         let engines = objects.backend.iter().filter(|(name, backend)| {
             backend.serves.iter().any(is_engine)
                 && (ended.has_unrecorded_backends || ended.backends.contains(name))
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -32,7 +32,9 @@
     store: ConfigStore,
     peers: Rc<dyn Peers>,
     current: watch::Sender<Arc<ConfigSnapshot>>,
+    /// Changes of the most recent versions, without gaps.
     recent: RefCell<VecDeque<VersionRow>>,
+    /// Last newer version that a peer reported and that was not fetched yet.
     newer_config: RefCell<Option<NewerConfig>>,
     newer_config_reported: Notify,
     metrics: Metrics,
