--- a/crates/daemon/benches/capacity/scenarios.rs
+++ b/crates/daemon/benches/capacity/scenarios.rs
@@ -10,6 +10,7 @@
 use crate::support::fleet::{ALPHA_KEY, Fleet, FleetOptions};
 use crate::support::http::{Http, eventually};
 
+// Values of the varied quantity in each scenario.
 const NODES: &[usize] = &[3, 6, 12, 24, 48];
 const TEAMS: &[usize] = &[10, 100, 1_000, 4_000];
 const PROGRAMS: &[usize] = &[100, 1_000, 5_000, 25_000];
@@ -108,10 +109,16 @@
     objects
 }
 
-async fn objects_point(scenario: &str, count: usize, grow: fn(Value, usize) -> Value) -> Point {
+/// Publishes `count` additional objects, then a change of one object, and measures how fast both
+/// reach all nodes.
+async fn objects_point(
+    scenario: &str,
+    count: usize,
+    add_objects: fn(Value, usize) -> Value,
+) -> Point {
     let fleet = start(3).await;
     let mut point = Point::new(scenario, count);
-    let objects = grow(fleet.sample_objects(), count);
+    let objects = add_objects(fleet.sample_objects(), count);
     let started = Instant::now();
     fleet.publish(objects.clone(), "grown").await.expect_status(200);
     point.add("publish_s", started.elapsed().as_secs_f64());
@@ -190,7 +197,8 @@
     points
 }
 
-/// Sends single model calls at a constant rate until `stop` is set; returns how many failed.
+/// Sends model calls without a program at a constant rate until `stop` is set; returns how many
+/// failed.
 async fn send_calls(http: Http, listen: Vec<String>, per_s: usize, stop: Rc<Cell<bool>>) -> usize {
     if per_s == 0 {
         return 0;
@@ -248,8 +256,8 @@
     points
 }
 
-/// Publishes changes of one object at a constant rate until `stop` is set; returns the last
-/// version.
+/// Publishes at most `per_minute` changes of one object per minute until `stop` is set; returns the
+/// last version.
 async fn publish_changes(
     http: Http,
     operator: String,
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -32,12 +32,12 @@
 use crate::crash::CrashPoint;
 use crate::request::execute;
 use crate::settings::Settings;
-use crate::version::Follower;
+use crate::version::ConfigFollower;
 
 /// Delay between attempts to register the node.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Interval between runs that release engine memory.
-const RELEASE_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between runs that end abandoned programs and release engine memory.
+const CLEAN_UP_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(500);
 
@@ -51,7 +51,7 @@
     metrics: Metrics,
     peers: Rc<RpcPeers>,
     node: RefCell<Rc<Node>>,
-    follower: Follower,
+    config_follower: ConfigFollower,
     dispatcher: Dispatcher,
     leaving: Cell<bool>,
 }
@@ -77,7 +77,7 @@
             settings.node.clone(),
         );
         Rc::new(Self {
-            follower: Follower::new(
+            config_follower: ConfigFollower::new(
                 platform.clone(),
                 Rc::clone(&peers) as _,
                 config,
@@ -108,10 +108,10 @@
         &self.dispatcher
     }
 
-    /// Returns the follower of configuration versions.
+    /// Returns the follower, which keeps the configuration of this node up to date.
     #[must_use]
-    pub fn follower(&self) -> &Follower {
-        &self.follower
+    pub fn config_follower(&self) -> &ConfigFollower {
+        &self.config_follower
     }
 
     /// Starts the graceful shutdown of the node; from then on, a fenced node is not replaced by a
@@ -131,13 +131,13 @@
         &self.platform
     }
 
-    /// Runs the tasks of other threads and the node, which restarts as a new incarnation when it is
-    /// fenced.
+    /// Runs the node and the tasks that other threads send; a fenced node restarts as a new
+    /// incarnation.
     pub async fn serve(self: Rc<Self>, mut tasks: mpsc::UnboundedReceiver<ControlTask>) {
         ntex::rt::spawn(Rc::clone(&self).run_incarnations());
         ntex::rt::spawn(Rc::clone(&self).update_gauges());
         ntex::rt::spawn(Rc::clone(&self).watch_vms());
-        ntex::rt::spawn(Rc::clone(&self).release_memory());
+        ntex::rt::spawn(Rc::clone(&self).clean_up_programs());
         while let Some(task) = tasks.recv().await {
             ntex::rt::spawn(task(Rc::clone(&self)));
         }
@@ -157,27 +157,28 @@
         Ok(admission)
     }
 
-    /// Takes a rate limit token of `team` for a request.
+    /// Takes a rate limit token of `team`, waiting up to `token_wait` for one.
     ///
     /// # Errors
     ///
-    /// Refuses when the team exceeds its rate and burst.
+    /// Refuses when the team exceeds its rate and burst, or no holder of its limit can be reached.
     pub async fn acquire_token(&self, team: &TeamId) -> Result<(), Refusal> {
-        let config = self.follower.current();
+        let config = self.config_follower.current();
         let Some(limit) = config.team_limit(team) else { return Ok(()) };
         let node = self.node();
         node.limits().acquire(team, limit, &node.membership().members()).await
     }
 
     /// Takes a token from this node's share of the limit of `team`, on behalf of another node.
-    pub async fn take_own(&self, team: &TeamId, row_version: u64) -> TakeReply {
-        let config = self.follower.current();
+    pub async fn take_from_own_share(&self, team: &TeamId, row_version: u64) -> TakeReply {
+        let config = self.config_follower.current();
         let Some(limit) = config.team_limit(team) else { return TakeReply::NotHolder };
         let node = self.node();
         node.limits().take_own(team, row_version, limit, &node.membership().members()).await
     }
 
-    /// Records the result of an attempt, unless an earlier incarnation of this node started it.
+    /// Records the result of an attempt; if an earlier incarnation of this node started it, only
+    /// refuses the waiting callers.
     pub async fn finish(&self, ticket: &CallTicket, request: &CallRequest, end: AttemptEnd) {
         let node = self.node();
         if node.incarnation().id() == ticket.incarnation {
@@ -191,21 +192,23 @@
         }
     }
 
-    /// Selects a backend server for `route`, or else for one of its fallback routes.
+    /// Selects a backend server that is not in `tried` for `route`, or for the first fallback route
+    /// that has one.
     ///
     /// # Errors
     ///
-    /// Refuses when no backend server can take the call.
+    /// Refuses when no backend server can take the call, or when the route was removed.
     pub fn place(
         &self,
         program: &str,
         route: &str,
         tried: &[BackendId],
     ) -> Result<Placement, Refusal> {
+        // The servers tried before have no recorded answer but may hold memory for the program.
         if !tried.is_empty() {
             self.node().owner().mark_unrecorded_backends(program);
         }
-        let config = self.follower.current();
+        let config = self.config_follower.current();
         let mut refusal = None;
         let mut next = Some(route);
         while let Some(object) = next.and_then(|name| config.objects().route.get(name)) {
@@ -237,7 +240,7 @@
         Ok(id)
     }
 
-    /// Ends a program that this node serves.
+    /// Ends a program that this node serves and its sub-agents; returns the ids of all that ended.
     ///
     /// # Errors
     ///
@@ -252,8 +255,8 @@
         let opened_unix_ms = node.owner().program(id, None).map(|program| program.opened_unix_ms);
         let ended = node.owner().close(id, team.as_deref(), reason).await?;
         if let Some(opened_unix_ms) = opened_unix_ms {
-            let lasted = self.clock.unix().saturating_sub(Duration::from_millis(opened_unix_ms));
-            self.metrics.program_seconds.observe(lasted.as_secs_f64());
+            let duration = self.clock.unix().saturating_sub(Duration::from_millis(opened_unix_ms));
+            self.metrics.program_seconds.observe(duration.as_secs_f64());
         }
         Ok(ended)
     }
@@ -268,7 +271,11 @@
         node.owner().program(id, team).ok_or_else(Refusal::program_unknown)
     }
 
-    /// Returns the node and the shard of a program if this node serves it.
+    /// Returns the current incarnation of this node and the shard of a program.
+    ///
+    /// # Errors
+    ///
+    /// Refuses when this node does not serve the shard.
     fn serving_node(&self, program: &str) -> Result<(Rc<Node>, ShardId), Refusal> {
         let region_shard = parse_program_id(program).ok_or_else(Refusal::program_unknown)?;
         let node = self.node();
@@ -286,7 +293,7 @@
     ///
     /// Fails as documented at [`dandelionfront_coordination::ConfigStore::publish`].
     pub async fn publish(&self, publication: &Publication) -> Result<Published, PublishError> {
-        self.follower.publish(publication, self.clock.unix()).await
+        self.config_follower.publish(publication, self.clock.unix()).await
     }
 
     /// Loads a recorded body.
@@ -323,8 +330,8 @@
             }
             let head = node.membership().head();
             futures_util::future::select(
-                std::pin::pin!(node.run(&self.follower)),
-                std::pin::pin!(self.follower.follow(head)),
+                std::pin::pin!(node.run(&self.config_follower)),
+                std::pin::pin!(self.config_follower.follow(head)),
             )
             .await;
             if self.leaving.get() {
@@ -359,7 +366,7 @@
     }
 
     /// Ends abandoned programs and releases the engine memory of ended ones.
-    async fn release_memory(self: Rc<Self>) {
+    async fn clean_up_programs(self: Rc<Self>) {
         let releaser = Releaser::new(self.engine_client.clone(), self.settings.engine_silence);
         loop {
             let node = self.node();
@@ -368,12 +375,12 @@
                 info!("event=program_abandoned program={program}");
                 let _ = node.owner().close(&program, None, CloseReason::Abandoned).await;
             }
-            let config = self.follower.current();
+            let config = self.config_follower.current();
             let freed = releaser.release(&config, node.owner().unreleased()).await;
             if !freed.is_empty() {
                 node.owner().mark_released(&freed);
             }
-            ntex::time::sleep(RELEASE_INTERVAL).await;
+            ntex::time::sleep(CLEAN_UP_INTERVAL).await;
         }
     }
 
--- a/crates/daemon/src/request/forwarded.rs
+++ b/crates/daemon/src/request/forwarded.rs
@@ -1,4 +1,4 @@
-//! Handlers for calls and program requests that other nodes forward to their owner, this node.
+//! Handlers for calls and program requests that other nodes forward to this node, the owner.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -31,9 +31,10 @@
         .service(web::resource(PROGRAM_PATH).route(web::post().to(forwarded_program)));
 }
 
+/// State of the event stream of a forwarded call.
 enum Stage {
     Admitting(LocalBoxFuture<'static, Result<FeedReader, Refusal>>),
-    Following(FeedReader),
+    Streaming(FeedReader),
     Ended,
 }
 
@@ -55,14 +56,14 @@
     Some(match stage {
         Stage::Admitting(mut admission) => match timeout(KEEP_ALIVE_INTERVAL, &mut admission).await
         {
-            Ok(Ok(reader)) => (keep_alive(), Stage::Following(reader)),
+            Ok(Ok(reader)) => (keep_alive_event(), Stage::Streaming(reader)),
             Ok(Err(refusal)) => (encode(&CallEvent::Refused(refusal)), Stage::Ended),
-            Err(()) => (keep_alive(), Stage::Admitting(admission)),
+            Err(()) => (keep_alive_event(), Stage::Admitting(admission)),
         },
-        Stage::Following(mut reader) => match timeout(KEEP_ALIVE_INTERVAL, reader.next()).await {
-            Ok(chunk @ CallEvent::Delta(_)) => (encode(&chunk), Stage::Following(reader)),
+        Stage::Streaming(mut reader) => match timeout(KEEP_ALIVE_INTERVAL, reader.next()).await {
+            Ok(chunk @ CallEvent::Delta(_)) => (encode(&chunk), Stage::Streaming(reader)),
             Ok(last) => (encode(&last), Stage::Ended),
-            Err(()) => (keep_alive(), Stage::Following(reader)),
+            Err(()) => (keep_alive_event(), Stage::Streaming(reader)),
         },
         Stage::Ended => return None,
     })
@@ -95,7 +96,6 @@
     sse_event(&serde_json::to_string(call_event).unwrap_or_default())
 }
 
-/// Returns a keep-alive event.
-fn keep_alive() -> Bytes {
+fn keep_alive_event() -> Bytes {
     Bytes::from(format!("event: {KEEP_ALIVE_EVENT}\ndata: {{}}\n\n"))
 }
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Ends a program, on whichever node it is served.
+/// Ends a program that any node may serve.
 ///
 /// # Errors
 ///
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reads a program with all bodies, on whichever node it is served.
+/// Reads a program that any node may serve, with all request and answer bodies.
 ///
 /// # Errors
 ///
@@ -168,8 +168,9 @@
         })?
     };
     let config = worker.shared.config();
-    let budget_tokens = team_budget(&config, &team)
-        .map_or(wanted.budget_tokens, |own| Some(wanted.budget_tokens.unwrap_or(own).min(own)));
+    let budget_tokens = team_budget(&config, &team).map_or(wanted.budget_tokens, |team_max| {
+        Some(wanted.budget_tokens.unwrap_or(team_max).min(team_max))
+    });
     let spec = ProgramSpec { team, parent: wanted.parent, budget_tokens };
     let region_shard = match &spec.parent {
         Some(parent) => parse_program_id(parent).ok_or_else(Refusal::program_unknown)?,
@@ -181,7 +182,7 @@
     }
 }
 
-/// Returns a shard for a new program: a random shard that this node serves, or any shard of the
+/// Selects the shard of a new program: a random one that this node serves, or any shard of the
 /// region if this node serves none.
 async fn choose_region_shard(worker: &Worker) -> Result<RegionShard, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
@@ -203,7 +204,7 @@
     Ok(caller.team)
 }
 
-/// Sends a program request to the owner of `region_shard`; retries until `owner_wait` has elapsed.
+/// Sends a program request to the owner of its shard; retries until `owner_wait` has elapsed.
 async fn send_to_owner(
     worker: &Worker,
     region_shard: &RegionShard,
@@ -237,6 +238,7 @@
     }
 }
 
+/// Sends a program request once; the inner error can be retried, the outer one cannot.
 async fn try_send_to_owner(
     worker: &Worker,
     region_shard: &RegionShard,
