--- a/crates/coordination/tests/journal.rs
+++ b/crates/coordination/tests/journal.rs
@@ -13,7 +13,7 @@
 };
 use dandelionfront_coordination::record::{CloseReason, Entry, Record};
 use dandelionfront_coordination::{Member, MemberState, Platform};
-use dandelionfront_standins::{MemoryTable, StepClock};
+use dandelionfront_standins::{PlatformState, StepClock};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -31,7 +31,7 @@
 
 /// Table with scripted outcomes of transactions.
 struct FaultyTable {
-    memory: Arc<MemoryTable>,
+    memory: Arc<PlatformState>,
     outcomes: RefCell<VecDeque<ScriptedOutcome>>,
     rows_at_fencing: Cell<Option<usize>>,
 }
@@ -76,7 +76,7 @@
     }
 }
 
-fn write_member(memory: &MemoryTable, state: MemberState) {
+fn write_member(memory: &PlatformState, state: MemberState) {
     let member = Member {
         id: NODE.to_owned(),
         forward_address: String::new(),
@@ -105,7 +105,7 @@
 
 /// Appends `count` records with scripted outcomes; returns the acknowledged and the stored ones.
 fn run_journal(count: u64, outcomes: &[ScriptedOutcome]) -> (Vec<u64>, Vec<u64>) {
-    let memory = Arc::new(MemoryTable::default());
+    let memory = Arc::new(PlatformState::default());
     write_member(&memory, MemberState::Live);
     let version = memory.read(Table::Nodes, NODE).map_or(0, |row| row.version);
     let table = Rc::new(FaultyTable {
--- a/crates/coordination/tests/shards.rs
+++ b/crates/coordination/tests/shards.rs
@@ -12,7 +12,7 @@
 use dandelionfront_coordination::{
     Admission, Answer, AttemptEnd, CallRequest, CallTarget, Clock, Journal, Owner, Payload, Usage,
 };
-use dandelionfront_standins::{MemoryTable, StepClock};
+use dandelionfront_standins::{PlatformState, StepClock};
 use futures_util::future::select;
 
 const REGION: &str = "local";
@@ -27,7 +27,7 @@
 }
 
 impl ShardNode {
-    fn new(memory: &Arc<MemoryTable>, id: &str) -> Self {
+    fn new(memory: &Arc<PlatformState>, id: &str) -> Self {
         let row = Transaction::default().put(Table::Nodes, id, serde_json::Value::Null);
         let TransactionOutcome::Committed(version) = memory.apply(&row) else {
             panic!("an unconditional write commits")
@@ -90,7 +90,7 @@
 
 #[tokio::test]
 async fn a_shard_that_returns_to_a_former_owner_keeps_its_records() {
-    let memory = Arc::new(MemoryTable::default());
+    let memory = Arc::new(PlatformState::default());
     let (first, second) = (ShardNode::new(&memory, "node-a"), ShardNode::new(&memory, "node-b"));
     let program = program_id(REGION, 0, 7);
     let journals = async {
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -15,7 +15,7 @@
 /// Client of one node.
 #[derive(Debug, Clone)]
 pub struct NodeClient {
-    node: String,
+    address: String,
     timeout: Millis,
 }
 
@@ -28,10 +28,10 @@
 }
 
 impl NodeClient {
-    /// Creates a client for the node at the address `node`.
+    /// Creates a client for the node at `address`.
     #[must_use]
-    pub fn new(node: &str, timeout_ms: u32) -> Self {
-        Self { node: node.to_owned(), timeout: Millis(timeout_ms) }
+    pub fn new(address: &str, timeout_ms: u32) -> Self {
+        Self { address: address.to_owned(), timeout: Millis(timeout_ms) }
     }
 
     /// Sends a request and decodes the JSON response.
@@ -47,8 +47,8 @@
     ) -> Result<T, CtlError> {
         let body = body.map(serde_json::to_vec).transpose().context(MalformedSnafu)?;
         let system = System::build().name("ctl").build(ntex::rt::DefaultRuntime);
-        let exchange = self.clone().exchange(method.to_owned(), path.to_owned(), body);
-        let (status, bytes) = system.block_on(exchange)?;
+        let response = self.clone().send_async(method.to_owned(), path.to_owned(), body);
+        let (status, bytes) = system.block_on(response)?;
         if status < 300 {
             return serde_json::from_slice(&bytes).context(MalformedSnafu);
         }
@@ -60,14 +60,14 @@
         RefusedSnafu { message: message.unwrap_or("the node gave no reason") }.fail()
     }
 
-    async fn exchange(
+    async fn send_async(
         self,
         method: String,
         path: String,
         body: Option<Vec<u8>>,
     ) -> Result<(u16, Vec<u8>), CtlError> {
         let unreachable =
-            |detail: String| UnreachableSnafu { node: self.node.clone(), detail }.build();
+            |detail: String| UnreachableSnafu { node: self.address.clone(), detail }.build();
         let client = Client::builder()
             .connector::<()>(Connector::new())
             .disable_timeout()
@@ -78,16 +78,16 @@
             .map_err(|error| unreachable(error.to_string()))?;
         let method = method.parse().map_err(|_| unreachable("invalid HTTP method".to_owned()))?;
         let request = client
-            .request(method, format!("http://{}{path}", self.node))
+            .request(method, format!("http://{}{path}", self.address))
             .content_type("application/json");
-        let exchange = async {
+        let round_trip = async {
             let sent = request.send_body(body.unwrap_or_default()).await;
             let response = sent.map_err(|error| unreachable(error.to_string()))?;
             let status = response.status().as_u16();
             let bytes = response.body().await.map_err(|error| unreachable(error.to_string()))?;
             Ok((status, bytes.to_vec()))
         };
-        match timeout(self.timeout, exchange).await {
+        match timeout(self.timeout, round_trip).await {
             Ok(result) => result,
             Err(()) => Err(unreachable("timed out waiting for the response".to_owned())),
         }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -18,7 +18,7 @@
         source: std::io::Error,
     },
     /// The object files have faults.
-    #[snafu(display("{} faults; fix them and run the command again{}", problems.len(), lines(problems)))]
+    #[snafu(display("{} faults; fix them and run the command again{}", problems.len(), indented_lines(problems)))]
     InvalidObjects {
         /// All faults found.
         problems: Vec<Problem>,
@@ -49,6 +49,6 @@
     },
 }
 
-fn lines(problems: &[Problem]) -> String {
+fn indented_lines(problems: &[Problem]) -> String {
     problems.iter().fold(String::new(), |text, problem| text + "\n  " + &problem.to_string())
 }
--- a/crates/ctl/tests/check.rs
+++ b/crates/ctl/tests/check.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn examples_have_no_faults() {
-    let sizes: Vec<_> = ["examples/merrimack", "examples/majlis"]
+    let counts: Vec<_> = ["examples/merrimack", "examples/majlis"]
         .into_iter()
         .map(|folder| {
             let objects = read_objects(&FileArgs { files: vec![repository_path(folder)] });
@@ -19,11 +19,11 @@
             (folder, objects.backend.len(), objects.team.len(), objects.route.len())
         })
         .collect();
-    insta::assert_debug_snapshot!(sizes);
+    insta::assert_debug_snapshot!(counts);
 }
 
 #[test]
-fn every_fault_names_file_line_and_remedy() {
+fn faults_are_reported_with_file_line_and_remedy() {
     let fixture = repository_path("crates/ctl/tests/fixtures/faulty.toml");
     let error =
         read_objects(&FileArgs { files: vec![fixture.clone()] }).expect_err("fixture has faults");
--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -90,12 +90,12 @@
         .service(web::resource("/v1/cache/events").route(web::get().to(get_events)))
         .service(
             web::resource("/v1/cache/programs/{id}")
-                .route(web::get().to(export_cache))
-                .route(web::put().to(import_cache))
+                .route(web::get().to(get_cached_tokens))
+                .route(web::put().to(cache_prompt))
                 .route(web::delete().to(release_cache)),
         )
         .service(web::resource("/v1/orders").route(web::post().to(accept_order)))
-        .service(web::resource("/standin/record").route(web::get().to(get_record)))
+        .service(web::resource("/standin/record").route(web::get().to(get_requests)))
         .service(web::resource("/standin/memory").route(web::get().to(get_memory)))
         .service(web::resource("/standin/faults").route(web::put().to(put_faults)));
 }
@@ -109,18 +109,18 @@
         return HttpResponse::BadRequest().json(&json!({"error": "malformed request"}));
     };
     let recorded = {
-        let mut record = lock(&engine.record);
-        let number = record.len() as u64 + 1;
+        let mut requests = lock(&engine.requests);
+        let number = requests.len() as u64 + 1;
         let path = request.path();
-        record.push(RecordedRequest::new(number, "POST", path, request.headers(), &body));
-        record[record.len() - 1].clone()
+        requests.push(RecordedRequest::new(number, "POST", path, request.headers(), &body));
+        requests[requests.len() - 1].clone()
     };
     if faults.garbage {
         return HttpResponse::Ok().content_type("application/json").body("<html>no JSON</html>");
     }
     let feed = CallFeed::new();
     let id = recorded.header("request-id").unwrap_or("anonymous").to_owned();
-    lock(&engine.streams).insert(id, Arc::clone(&feed));
+    lock(&engine.feeds).insert(id, Arc::clone(&feed));
     let stream = chat.stream;
     ntex::rt::spawn(generate(Arc::clone(&engine), chat, recorded, Arc::clone(&feed)));
     if stream { stream_from(&engine, &feed, 0) } else { non_streaming_response(&feed).await }
@@ -259,14 +259,14 @@
 }
 
 async fn resume(engine: Shared, id: Path<String>, query: Query<OffsetQuery>) -> HttpResponse {
-    match lock(&engine.streams).get(id.as_str()) {
+    match lock(&engine.feeds).get(id.as_str()) {
         Some(feed) => stream_from(&engine, feed, query.offset),
         None => HttpResponse::NotFound().finish(),
     }
 }
 
 async fn cancel(engine: Shared, id: Path<String>) -> HttpResponse {
-    if let Some(feed) = lock(&engine.streams).get(id.as_str()) {
+    if let Some(feed) = lock(&engine.feeds).get(id.as_str()) {
         feed.close(Err(Refusal::outcome_unknown()));
     }
     HttpResponse::NoContent().finish()
@@ -276,7 +276,7 @@
     let (active, waiting) = engine.batch.load();
     let cached_tokens = lock(&engine.cache).held_tokens().values().sum();
     let report = LoadReport { active, waiting, slots: engine.settings.slots, cached_tokens };
-    let mut history = lock(&engine.load);
+    let mut history = lock(&engine.load_history);
     let now = unix_ms();
     history.0.push_back((now, report));
     let visible_until = now.saturating_sub(engine.settings.load_lag_ms);
@@ -291,7 +291,7 @@
         .json(&lock(&engine.cache).events_after(query.after, engine.settings.load_lag_ms))
 }
 
-async fn export_cache(engine: Shared, program: Path<String>) -> HttpResponse {
+async fn get_cached_tokens(engine: Shared, program: Path<String>) -> HttpResponse {
     let held = lock(&engine.cache).held_tokens();
     match held.get(program.as_str()) {
         Some(tokens) => HttpResponse::Ok().json(&json!({"tokens": tokens})),
@@ -299,7 +299,7 @@
     }
 }
 
-async fn import_cache(engine: Shared, program: Path<String>, body: Bytes) -> HttpResponse {
+async fn cache_prompt(engine: Shared, program: Path<String>, body: Bytes) -> HttpResponse {
     let prompt = String::from_utf8_lossy(&body).into_owned();
     lock(&engine.cache).insert(&program, &text::tokens(&prompt));
     HttpResponse::NoContent().finish()
@@ -319,8 +319,8 @@
     HttpResponse::NoContent().finish()
 }
 
-async fn get_record(engine: Shared) -> HttpResponse {
-    HttpResponse::Ok().json(&*lock(&engine.record))
+async fn get_requests(engine: Shared) -> HttpResponse {
+    HttpResponse::Ok().json(&*lock(&engine.requests))
 }
 
 async fn get_memory(engine: Shared) -> HttpResponse {
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -10,7 +10,7 @@
 /// Tokens per block.
 const BLOCK_TOKENS: usize = 16;
 /// Events whose numbers are multiples of this are not published, to simulate lost events.
-const UNPUBLISHED_EVENT_INTERVAL: u64 = 7;
+const LOSE_EVERY_NTH_EVENT: u64 = 7;
 
 /// A cache change published to schedulers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -78,7 +78,7 @@
             };
             self.blocks.remove(&hash);
         }
-        self.publish(program);
+        self.record_change(program);
     }
 
     /// Frees the blocks cached only for `program`; returns the number of tokens freed.
@@ -88,7 +88,7 @@
             block.programs.remove(program);
             !block.programs.is_empty()
         });
-        self.publish(program);
+        self.record_change(program);
         ((before - self.blocks.len()) * BLOCK_TOKENS) as u64
     }
 
@@ -106,13 +106,12 @@
     #[must_use]
     pub fn events_after(&self, number: u64, lag_ms: u64) -> Vec<CacheEvent> {
         let visible_until = unix_ms().saturating_sub(lag_ms);
-        let published =
-            self.events.iter().filter(|event| event.number % UNPUBLISHED_EVENT_INTERVAL != 0);
+        let published = self.events.iter().filter(|event| event.number % LOSE_EVERY_NTH_EVENT != 0);
         let due = published.filter(|event| event.changed_unix_ms <= visible_until);
         due.filter(|event| event.number > number).cloned().collect()
     }
 
-    fn publish(&mut self, program: &str) {
+    fn record_change(&mut self, program: &str) {
         let held = self.blocks.values().filter(|block| block.programs.contains(program)).count();
         self.events.push(CacheEvent {
             number: self.events.len() as u64 + 1,
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -70,11 +70,11 @@
     settings: EngineSettings,
     batch: Batch,
     cache: Mutex<PrefixCache>,
-    record: Mutex<Vec<RecordedRequest>>,
-    streams: Mutex<HashMap<String, Arc<CallFeed>>>,
+    requests: Mutex<Vec<RecordedRequest>>,
+    feeds: Mutex<HashMap<String, Arc<CallFeed>>>,
     faults: Mutex<EngineFaults>,
     fencing_number: Mutex<u64>,
-    load: Mutex<api::LoadHistory>,
+    load_history: Mutex<api::LoadHistory>,
 }
 
 impl Engine {
@@ -88,11 +88,11 @@
             batch: Batch::new(settings.slots),
             cache: Mutex::new(PrefixCache::new(settings.cache_tokens)),
             settings,
-            record: Mutex::default(),
-            streams: Mutex::default(),
+            requests: Mutex::default(),
+            feeds: Mutex::default(),
             faults: Mutex::default(),
             fencing_number: Mutex::default(),
-            load: Mutex::default(),
+            load_history: Mutex::default(),
         };
         serve(listen, Arc::new(engine), api::routes)
     }
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -47,7 +47,7 @@
 
 /// Decrements `count` unless it is 0; returns whether it was above 0.
 pub fn consume_one(count: &mut u32) -> bool {
-    let is_left = *count > 0;
+    let was_positive = *count > 0;
     *count = count.saturating_sub(1);
-    is_left
+    was_positive
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -22,4 +22,4 @@
 pub use proxy::{FaultProxy, ProxyFaults};
 pub use rows::MemoryRows;
 pub use service::{Service, ServiceSettings};
-pub use table::MemoryTable;
+pub use table::PlatformState;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -13,7 +13,7 @@
 
 use crate::faults::{FaultInjector, StoreFaults};
 use crate::http::serve;
-use crate::table::MemoryTable;
+use crate::table::PlatformState;
 
 /// Numbers of requests served.
 #[derive(Debug, Default, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
 /// The platform stand-in.
 #[derive(Debug, Default)]
 pub struct Platform {
-    memory: Arc<MemoryTable>,
+    state: Arc<PlatformState>,
     faults: FaultInjector,
     stats: PlatformStats,
 }
@@ -70,7 +70,7 @@
         return response;
     }
     platform.stats.reads.fetch_add(1, Ordering::Relaxed);
-    HttpResponse::Ok().json(&platform.memory.read(query.table, &query.key))
+    HttpResponse::Ok().json(&platform.state.read(query.table, &query.key))
 }
 
 async fn get_rows(platform: Shared, query: Query<ScanQuery>) -> HttpResponse {
@@ -78,7 +78,7 @@
         return response;
     }
     platform.stats.reads.fetch_add(1, Ordering::Relaxed);
-    let rows = platform.memory.read_range(query.table, &query.prefix, &query.after, query.limit);
+    let rows = platform.state.read_range(query.table, &query.prefix, &query.after, query.limit);
     HttpResponse::Ok().json(&rows)
 }
 
@@ -87,7 +87,7 @@
         return response;
     }
     platform.stats.writes.fetch_add(1, Ordering::Relaxed);
-    let outcome = platform.memory.apply(&transaction);
+    let outcome = platform.state.apply(&transaction);
     if platform.faults.consume_lost_answer() {
         return HttpResponse::GatewayTimeout().force_close().finish();
     }
@@ -103,7 +103,7 @@
         return response;
     }
     platform.stats.objects.fetch_add(1, Ordering::Relaxed);
-    match platform.memory.get_object(&object_key(&request)) {
+    match platform.state.get_object(&object_key(&request)) {
         Some(bytes) => HttpResponse::Ok().body(bytes),
         None => HttpResponse::NotFound().finish(),
     }
@@ -114,7 +114,7 @@
         return response;
     }
     platform.stats.objects.fetch_add(1, Ordering::Relaxed);
-    platform.memory.put_object(&object_key(&request), body.to_vec());
+    platform.state.put_object(&object_key(&request), body.to_vec());
     HttpResponse::NoContent().finish()
 }
 
@@ -122,7 +122,7 @@
     if let Some(response) = platform.faults.intercept().await {
         return response;
     }
-    platform.memory.delete_object(&object_key(&request));
+    platform.state.delete_object(&object_key(&request));
     HttpResponse::NoContent().finish()
 }
 
@@ -130,11 +130,11 @@
     if let Some(response) = platform.faults.intercept().await {
         return response;
     }
-    HttpResponse::Ok().json(&platform.memory.list_vms())
+    HttpResponse::Ok().json(&platform.state.list_vms())
 }
 
 async fn put_vms(platform: Shared, vms: Json<Vec<Vm>>) -> HttpResponse {
-    platform.memory.set_vms(vms.into_inner());
+    platform.state.set_vms(vms.into_inner());
     HttpResponse::NoContent().finish()
 }
 
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -92,7 +92,7 @@
 }
 
 async fn relay(proxy: Arc<FaultProxy>, caller: TcpStream) {
-    let opened_generation = *proxy.generation.borrow();
+    let generation_at_open = *proxy.generation.borrow();
     let Ok(target) = TcpStream::connect(proxy.target).await else {
         return;
     };
@@ -101,12 +101,12 @@
     let (caller_read, caller_write) = caller.into_split();
     let (target_read, target_write) = target.into_split();
     let mut generation = proxy.generation.subscribe();
-    let to_target = forward(&proxy, opened_generation, caller_read, target_write, false);
-    let to_caller = forward(&proxy, opened_generation, target_read, caller_write, true);
+    let to_target = forward(&proxy, generation_at_open, caller_read, target_write, false);
+    let to_caller = forward(&proxy, generation_at_open, target_read, caller_write, true);
     let close_requested = async {
         loop {
             let must_close = lock(&proxy.faults).close_open
-                && *generation.borrow_and_update() > opened_generation;
+                && *generation.borrow_and_update() > generation_at_open;
             if must_close || generation.changed().await.is_err() {
                 return;
             }
@@ -121,24 +121,24 @@
 
 async fn forward(
     proxy: &FaultProxy,
-    opened_generation: u64,
+    generation_at_open: u64,
     mut from: tokio::net::tcp::OwnedReadHalf,
     mut to: tokio::net::tcp::OwnedWriteHalf,
-    can_cut: bool,
+    is_from_target: bool,
 ) {
     const CHUNK_BYTES: usize = 16 * 1024;
     let mut chunk = vec![0; CHUNK_BYTES];
     let mut forwarded_bytes = 0;
     while let Ok(read_bytes @ 1..) = from.read(&mut chunk).await {
         let faults = lock(&proxy.faults).clone();
-        let predates_faults = *proxy.generation.borrow() > opened_generation;
+        let predates_faults = *proxy.generation.borrow() > generation_at_open;
         if faults.silence_all || faults.silence_open && predates_faults {
             continue;
         }
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
         }
-        let limit = faults.cut_after_bytes.filter(|_| can_cut).unwrap_or(usize::MAX);
+        let limit = faults.cut_after_bytes.filter(|_| is_from_target).unwrap_or(usize::MAX);
         let allowed = read_bytes.min(limit.saturating_sub(forwarded_bytes));
         if to.write_all(&chunk[..allowed]).await.is_err() {
             return;
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -27,7 +27,7 @@
 
 /// The rows of all tables, with the history of their changes.
 #[derive(Debug, Default)]
-pub struct RowTable {
+pub struct RowTables {
     rows: BTreeMap<RowName, VersionedRow>,
     history: Vec<(RowName, u64)>,
     version: u64,
@@ -38,7 +38,7 @@
 /// Writes of one transaction; `None` removes the row.
 pub type RowUpdates = Vec<(RowName, Option<Vec<u8>>)>;
 
-impl RowTable {
+impl RowTables {
     /// Applies `updates` if each row in `expected` has the version given there, and returns the new
     /// version.
     ///
@@ -124,7 +124,7 @@
 /// In-memory [`RowStore`] for tests of the coordination library; clones share their rows.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryRows {
-    table: Arc<Mutex<RowTable>>,
+    tables: Arc<Mutex<RowTables>>,
     faults: Arc<Mutex<RowFaults>>,
     writes: Arc<Mutex<u64>>,
 }
@@ -159,7 +159,7 @@
     ) -> Result<Option<VersionedRow>, RowStoreError> {
         self.check_available()?;
         let name = (table.to_owned(), part.to_owned(), key.to_owned());
-        Ok(lock(&self.table).rows.get(&name).cloned())
+        Ok(lock(&self.tables).rows.get(&name).cloned())
     }
 
     async fn write(&self, write: RowWrite<'_>) -> Result<WriteOutcome, RowStoreError> {
@@ -171,7 +171,7 @@
         }
         let name = (write.table.to_owned(), write.part.to_owned(), write.key.to_owned());
         let updates = vec![(name.clone(), write.value.map(<[u8]>::to_vec))];
-        let outcome = lock(&self.table).transact(&[(name, write.expected_version)], updates);
+        let outcome = lock(&self.tables).transact(&[(name, write.expected_version)], updates);
         if consume_one(&mut lock(&self.faults).lose_answers) {
             return Err(answer_lost);
         }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub struct Service {
     settings: ServiceSettings,
-    record: Mutex<Vec<RecordedRequest>>,
+    requests: Mutex<Vec<RecordedRequest>>,
 }
 
 impl Service {
@@ -34,27 +34,27 @@
     ///
     /// Fails when the address cannot be bound.
     pub fn spawn(listen: SocketAddr, settings: ServiceSettings) -> io::Result<SocketAddr> {
-        serve(listen, Arc::new(Self { settings, record: Mutex::default() }), routes)
+        serve(listen, Arc::new(Self { settings, requests: Mutex::default() }), routes)
     }
 }
 
 fn routes(config: &mut web::ServiceConfig) {
     config
-        .service(web::resource("/standin/record").route(web::get().to(get_record)))
+        .service(web::resource("/standin/record").route(web::get().to(get_requests)))
         .service(web::resource("/{path}*").route(web::route().to(execute)));
 }
 
-async fn get_record(service: State<Arc<Service>>) -> HttpResponse {
-    HttpResponse::Ok().json(&*lock(&service.record))
+async fn get_requests(service: State<Arc<Service>>) -> HttpResponse {
+    HttpResponse::Ok().json(&*lock(&service.requests))
 }
 
 async fn execute(service: State<Arc<Service>>, request: HttpRequest, body: Bytes) -> HttpResponse {
     let path = request.uri().path_and_query().map_or("", |path| path.as_str());
     let number = {
-        let mut record = lock(&service.record);
-        let number = record.len() as u64 + 1;
+        let mut requests = lock(&service.requests);
+        let number = requests.len() as u64 + 1;
         let method = request.method().as_str();
-        record.push(RecordedRequest::new(number, method, path, request.headers(), &body));
+        requests.push(RecordedRequest::new(number, method, path, request.headers(), &body));
         number
     };
     if service.settings.delay_ms > 0 {
--- a/crates/standins/src/site/runner.rs
+++ b/crates/standins/src/site/runner.rs
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 pub struct Runner {
     settings: RunnerSettings,
-    record: Mutex<Vec<RecordedRequest>>,
+    requests: Mutex<Vec<RecordedRequest>>,
     faults: Mutex<RunnerFaults>,
     open_streams: AtomicU64,
 }
@@ -58,7 +58,7 @@
     pub fn spawn(listen: SocketAddr, settings: RunnerSettings) -> io::Result<SocketAddr> {
         let runner = Self {
             settings,
-            record: Mutex::default(),
+            requests: Mutex::default(),
             faults: Mutex::default(),
             open_streams: AtomicU64::new(0),
         };
@@ -77,7 +77,7 @@
 
 fn routes(config: &mut web::ServiceConfig) {
     config
-        .service(web::resource("/standin/record").route(web::get().to(get_record)))
+        .service(web::resource("/standin/record").route(web::get().to(get_requests)))
         .service(web::resource("/standin/streams").route(web::get().to(get_streams)))
         .service(web::resource("/standin/faults").route(web::put().to(put_faults)))
         .service(web::resource("/{path}*").route(web::route().to(execute)));
@@ -85,8 +85,8 @@
 
 type Shared = State<Arc<Runner>>;
 
-async fn get_record(runner: Shared) -> HttpResponse {
-    HttpResponse::Ok().json(&*lock(&runner.record))
+async fn get_requests(runner: Shared) -> HttpResponse {
+    HttpResponse::Ok().json(&*lock(&runner.requests))
 }
 
 async fn get_streams(runner: Shared) -> HttpResponse {
@@ -124,10 +124,10 @@
     }
     let path = request.uri().path_and_query().map_or("", |path| path.as_str());
     let number = {
-        let mut record = lock(&runner.record);
-        let number = record.len() as u64 + 1;
+        let mut requests = lock(&runner.requests);
+        let number = requests.len() as u64 + 1;
         let method = request.method().as_str();
-        record.push(RecordedRequest::new(number, method, path, request.headers(), &body));
+        requests.push(RecordedRequest::new(number, method, path, request.headers(), &body));
         number
     };
     if runner.consume_fault(|faults| &mut faults.lose_answers) {
@@ -169,7 +169,7 @@
             }
             sleep(Millis(runner.settings.delay_ms)).await;
             if is_cut && id == last_id {
-                // Half an event; the next id ends the events, and `tail` breaks the connection.
+                // Half an event; the next id ends the events, and `cut` breaks the connection.
                 let half = Bytes::from(format!("id: {id}\nda"));
                 return Some((Ok(half), u64::MAX - 1));
             }
@@ -177,11 +177,11 @@
             Some((Ok(event), id + 1))
         }
     });
-    let tail = futures_util::stream::unfold(is_cut, |cuts| async move {
-        cuts.then(|| (Err::<Bytes, _>(io::Error::other("cut")), false))
+    let cut = futures_util::stream::unfold(is_cut, |is_cut| async move {
+        is_cut.then(|| (Err::<Bytes, _>(io::Error::other("cut")), false))
     });
     response.header("content-type", "text/event-stream");
-    response.streaming(Box::pin(events.chain(tail)))
+    response.streaming(Box::pin(events.chain(cut)))
 }
 
 /// Returns the data of the event with the given `id`.
--- a/crates/standins/src/site/store.rs
+++ b/crates/standins/src/site/store.rs
@@ -14,12 +14,12 @@
 
 use crate::faults::{FaultInjector, StoreFaults};
 use crate::http::{lock, serve};
-use crate::rows::{RowName, RowTable, RowUpdates};
+use crate::rows::{RowName, RowTables, RowUpdates};
 
 /// The metadata store stand-in.
 #[derive(Debug, Default)]
 pub struct MetadataStore {
-    rows: Mutex<RowTable>,
+    rows: Mutex<RowTables>,
     faults: FaultInjector,
     transactions: Mutex<u64>,
 }
@@ -58,7 +58,7 @@
 }
 
 impl RowKey {
-    fn name(self) -> RowName {
+    fn into_name(self) -> RowName {
         (self.table, self.part, self.key)
     }
 }
@@ -114,7 +114,7 @@
         .service(web::resource("/v1/rows-feed").route(web::get().to(feed)))
         .service(web::resource("/standin/faults").route(web::put().to(put_faults)))
         .service(web::resource("/standin/rows").route(web::put().to(put_row)))
-        .service(web::resource("/standin/forget").route(web::put().to(forget_history)))
+        .service(web::resource("/standin/forget").route(web::put().to(truncate_history)))
         .service(web::resource("/standin/stats").route(web::get().to(get_stats)));
 }
 
@@ -127,15 +127,15 @@
     *lock(&store.transactions) += 1;
     let Transaction { expected_rev, writes, remove } = transaction.into_inner();
     let expected: Vec<_> =
-        expected_rev.into_iter().map(|entry| (entry.row.name(), entry.ver)).collect();
+        expected_rev.into_iter().map(|entry| (entry.row.into_name(), entry.ver)).collect();
     let mut updates: RowUpdates = Vec::new();
     for write in writes {
         let Ok(value) = BASE64.decode(&write.value) else {
             return HttpResponse::BadRequest().body("value is not base64");
         };
-        updates.push((write.row.name(), Some(value)));
+        updates.push((write.row.into_name(), Some(value)));
     }
-    updates.extend(remove.into_iter().map(|row| (row.name(), None)));
+    updates.extend(remove.into_iter().map(|row| (row.into_name(), None)));
     let outcome = lock(&store.rows).transact(&expected, updates);
     if store.faults.consume_lost_answer() {
         return HttpResponse::GatewayTimeout().force_close().finish();
@@ -170,8 +170,8 @@
         return response;
     }
     let (page, has_more) = {
-        let table = lock(&store.rows);
-        let mut rows = table.range(&query.table, &query.part, &query.from);
+        let tables = lock(&store.rows);
+        let mut rows = tables.range(&query.table, &query.part, &query.from);
         let page: Vec<Value> = rows
             .by_ref()
             .take(query.limit.min(page_rows()))
@@ -233,7 +233,7 @@
     }
 }
 
-async fn forget_history(store: Shared) -> HttpResponse {
+async fn truncate_history(store: Shared) -> HttpResponse {
     lock(&store.rows).truncate_history();
     HttpResponse::NoContent().finish()
 }
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -20,13 +20,13 @@
 
 /// Rows, objects and VM list in memory; every transaction is atomic.
 #[derive(Debug, Default)]
-pub struct MemoryTable {
+pub struct PlatformState {
     tables: Mutex<Tables>,
     objects: Mutex<BTreeMap<String, Vec<u8>>>,
     vms: Mutex<Vec<Vm>>,
 }
 
-impl MemoryTable {
+impl PlatformState {
     /// Reads one row.
     #[must_use]
     pub fn read(&self, table: Table, key: &str) -> Option<Row> {
@@ -103,17 +103,17 @@
     /// Returns the platform's services, backed by this memory.
     #[must_use]
     pub fn platform(self: &Arc<Self>) -> Platform {
-        let service = Rc::new(MemoryPlatform(Arc::clone(self)));
+        let service = Rc::new(InProcessPlatform(Arc::clone(self)));
         Platform { table: Rc::clone(&service) as _, objects: service }
     }
 }
 
-/// Platform services that call a [`MemoryTable`] directly.
+/// Platform services that call a [`PlatformState`] directly.
 #[derive(Debug, Clone)]
-pub struct MemoryPlatform(pub Arc<MemoryTable>);
+pub struct InProcessPlatform(pub Arc<PlatformState>);
 
 #[async_trait(?Send)]
-impl TableService for MemoryPlatform {
+impl TableService for InProcessPlatform {
     async fn get(&self, table: Table, key: &str) -> PlatformResult<Option<Row>> {
         Ok(self.0.read(table, key))
     }
@@ -134,7 +134,7 @@
 }
 
 #[async_trait(?Send)]
-impl ObjectStore for MemoryPlatform {
+impl ObjectStore for InProcessPlatform {
     async fn put(&self, key: &str, bytes: Vec<u8>) -> PlatformResult<()> {
         self.0.put_object(key, bytes);
         Ok(())
@@ -151,7 +151,7 @@
 }
 
 #[async_trait(?Send)]
-impl VmList for MemoryPlatform {
+impl VmList for InProcessPlatform {
     async fn vms(&self) -> PlatformResult<Vec<Vm>> {
         Ok(self.0.list_vms())
     }
