--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Parser)]
 #[command(name = "dandelionctl", version)]
 pub struct Cli {
-    /// Operator address of any node, as IP:PORT.
+    /// Address of any node's operator listener, as IP:PORT.
     #[arg(long, global = true, env = "DANDELIONCTL_NODE", default_value = "127.0.0.1:8083")]
     pub node: String,
 
@@ -29,7 +29,7 @@
 /// Commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Checks object files without contacting a node and reports every fault with file and line.
+    /// Checks object files locally and reports every fault with file and line.
     Check(FileArgs),
     /// Checks object files and publishes them as the next version.
     Publish(PublishArgs),
@@ -40,7 +40,7 @@
     /// Issues and withdraws callers' keys.
     #[command(subcommand)]
     Key(KeyCommand),
-    /// Takes backend servers out of service.
+    /// Drains backend servers.
     #[command(subcommand)]
     Backend(BackendCommand),
     /// Shows and cancels programs.
@@ -58,19 +58,19 @@
     pub files: Vec<PathBuf>,
 }
 
-/// Arguments of a publication.
+/// Arguments of `publish`.
 #[derive(Debug, Args)]
 pub struct PublishArgs {
     /// Object files.
     #[command(flatten)]
     pub files: FileArgs,
 
-    /// Version that the files are based on; defaults to the version in force.
+    /// Version that the files are based on, by default the version in force; the publication is
+    /// refused if another version is in force.
     #[arg(long)]
     pub base_version: Option<u64>,
 
-    /// Identifier of the publication, for an idempotent retry after a lost answer; random by
-    /// default.
+    /// Identifier of the publication; reuse it to retry after a lost answer. Random by default.
     #[arg(long)]
     pub publish_id: Option<String>,
 
@@ -95,7 +95,7 @@
         #[arg(long)]
         team: String,
     },
-    /// Withdraws a key, which stops working within seconds, including for connected callers.
+    /// Withdraws a key; it stops working within seconds, even for connected callers.
     Withdraw {
         /// Name of the key object.
         name: String,
--- a/crates/ctl/src/commands.rs
+++ b/crates/ctl/src/commands.rs
@@ -14,7 +14,7 @@
 use crate::error::{CtlError, InvalidObjectsSnafu, ReadFileSnafu};
 use crate::print;
 
-/// Marks a request without a body.
+/// Body argument of requests without a body.
 const NO_BODY: Option<&()> = None;
 
 /// Configuration in force, as returned by a node.
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the files have faults, or the node does not answer or refuses the request.
+/// Fails when a file cannot be read, the objects have faults, or the request to the node fails.
 pub fn run(cli: &Cli) -> Result<String, CtlError> {
     let client = NodeClient::new(&cli.node, cli.timeout_ms);
     let value = match &cli.command {
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 ///
-/// Fails when a file cannot be read, or with all faults found in the objects.
+/// Fails when a file cannot be read or the objects have faults; the error lists all faults.
 pub fn read_objects(args: &FileArgs) -> Result<ObjectSet, CtlError> {
     let mut files = ObjectFiles::default();
     for path in expand_folders(&args.files)? {
@@ -96,7 +96,7 @@
     files.finish().map_err(|problems| InvalidObjectsSnafu { problems }.build())
 }
 
-/// Replaces each folder by its object files, sorted by name.
+/// Replaces each folder with the `.toml` files directly in it, sorted by name.
 fn expand_folders(paths: &[PathBuf]) -> Result<Vec<PathBuf>, CtlError> {
     let mut files = Vec::new();
     for path in paths {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -18,30 +18,34 @@
         source: std::io::Error,
     },
     /// The object files have faults.
-    #[snafu(display("{} faults; fix them and run the command again{}", problems.len(), indented_lines(problems)))]
+    #[snafu(display(
+        "faults found: {}; fix them and run the command again{}",
+        problems.len(),
+        indented_lines(problems)
+    ))]
     InvalidObjects {
         /// All faults found.
         problems: Vec<Problem>,
     },
-    /// The node did not answer.
+    /// The request could not be sent, or no complete response arrived in time.
     #[snafu(display(
         "the node at {node} did not answer ({detail}); check --node or try another node"
     ))]
     Unreachable {
         /// Address of the node.
         node: String,
-        /// Cause as reported by the transport.
+        /// Description of the cause.
         detail: String,
     },
     /// The node refused the request.
     #[snafu(display("{message}"))]
     Refused {
-        /// Message sent by the node, which includes the remedy.
+        /// Message sent by the node, which normally includes the remedy.
         message: String,
     },
     /// The node's response could not be decoded.
     #[snafu(display(
-        "the node's response is malformed ({source}); use the same release of client and node"
+        "the node's response is malformed ({source}); use the same release of dandelionctl and node"
     ))]
     Malformed {
         /// Cause.
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The `dandelionctl` command line.
+//! Entry point of `dandelionctl`.
 
 use std::process::ExitCode;
 
--- a/crates/ctl/src/print.rs
+++ b/crates/ctl/src/print.rs
@@ -14,12 +14,13 @@
     text
 }
 
-/// Returns the result of `command` as text.
+/// Returns the result of `command` as text for operators; programs are shown as JSON.
 #[must_use]
 pub fn text(command: &Command, value: &Value) -> String {
     match command {
         Command::Check(_) => format!("{} objects, no faults\n", value["objects"]),
         Command::Publish(_) | Command::Backend(_) | Command::Key(KeyCommand::Withdraw { .. }) => {
+            // `publish` returns `changes`; the responses to the other commands have `change_count`.
             let changes = value.get("changes").or(value.get("change_count"));
             let changes = changes.unwrap_or(&Value::Null);
             format!("version {} accepted, {changes} objects changed\n", value["version"])
--- a/crates/ctl/tests/check.rs
+++ b/crates/ctl/tests/check.rs
@@ -1,4 +1,4 @@
-//! Tests that `check` accepts the example files and reports every fault with file and line.
+//! Tests that `read_objects` accepts the example files and reports faults with file and line.
 
 use std::path::PathBuf;
 
@@ -16,6 +16,7 @@
         .map(|folder| {
             let objects = read_objects(&FileArgs { files: vec![repository_path(folder)] });
             let objects = objects.unwrap_or_else(|error| panic!("{folder}: {error}"));
+            // Folder, then the numbers of backends, teams and routes.
             (folder, objects.backend.len(), objects.team.len(), objects.route.len())
         })
         .collect();
--- a/crates/standins/examples/engine.rs
+++ b/crates/standins/examples/engine.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use dandelionfront_standins::{Engine, EngineSettings};
 
-/// Model engine stand-in with continuous batching and a prefix cache.
+/// Stand-in for a model engine with simulated continuous batching and a prefix cache.
 #[derive(Debug, Parser)]
 struct Cli {
     /// Address to listen on, as IP:PORT; port 0 picks a free one.
--- a/crates/standins/examples/platform.rs
+++ b/crates/standins/examples/platform.rs
@@ -1,11 +1,11 @@
-//! Runs the platform stand-in: tables, objects and VM list in memory.
+//! Runs the platform stand-in.
 
 use std::net::SocketAddr;
 
 use clap::Parser;
 use dandelionfront_standins::Platform;
 
-/// Platform stand-in: transactional tables, objects and VM list in memory.
+/// Stand-in for the platform: transactional tables, objects and VM list in memory.
 #[derive(Debug, Parser)]
 struct Cli {
     /// Address to listen on, as IP:PORT; port 0 picks a free one.
--- a/crates/standins/examples/service.rs
+++ b/crates/standins/examples/service.rs
@@ -5,7 +5,7 @@
 use clap::Parser;
 use dandelionfront_standins::{Service, ServiceSettings};
 
-/// Plain service stand-in that records every call it executes.
+/// Stand-in for a plain service; records every call that it executes.
 #[derive(Debug, Parser)]
 struct Cli {
     /// Address to listen on, as IP:PORT; port 0 picks a free one.
--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -8,12 +8,13 @@
 use futures_util::FutureExt as _;
 use futures_util::future::LocalBoxFuture;
 
-/// Times that a sleep yields to other tasks before it advances the clock.
+/// Number of times that a sleep yields, so that other ready tasks run before the clock advances.
 const YIELDS_PER_SLEEP: usize = 100;
 
 /// Clock that advances only when a task sleeps or a test calls [`StepClock::advance`].
 ///
-/// A sleep yields to other tasks and then advances the clock by its duration.
+/// Each sleep first yields to other tasks and then advances the clock by its whole duration, so
+/// concurrent sleeps add up. Unix time starts at 0 and equals monotonic time.
 #[derive(Debug, Clone, Default)]
 pub struct StepClock(Rc<Cell<Duration>>);
 
--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Answers completion requests with a body that is not JSON.
+    /// Answers completion requests with a body that is not JSON, without generating tokens.
     pub garbage: bool,
     /// Refuses completion requests with 503.
     pub refuse: bool,
-    /// Stalls streams after their first event without closing them.
+    /// Stalls streams before every event except the one at offset 0, without closing them.
     pub silent: bool,
 }
 
@@ -52,15 +52,16 @@
     pub waiting: usize,
     /// Total number of slots.
     pub slots: usize,
-    /// Tokens in the prefix cache.
+    /// Sum of the cached tokens of all programs; tokens that programs share count once for each.
     pub cached_tokens: u64,
 }
 
-/// Recent load reports with their times, kept to serve them with a delay.
+/// Recent load reports with their times in Unix milliseconds, to be served with a delay.
 #[derive(Debug, Default)]
 pub struct LoadHistory(VecDeque<(u64, LoadReport)>);
 
-/// Order from a scheduler, refused if its fencing number is older than the newest one seen.
+/// Order from a scheduler, of which only the fencing number is checked: an order is refused if its
+/// number is lower than the highest one seen.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Order {
     fencing_number: u64,
@@ -68,11 +69,13 @@
 
 #[derive(Debug, Deserialize)]
 struct OffsetQuery {
+    /// Number of events to skip.
     offset: usize,
 }
 
 #[derive(Debug, Deserialize)]
 struct AfterQuery {
+    /// Number of the last cache event already received.
     after: u64,
 }
 
@@ -278,6 +281,7 @@
     let report = LoadReport { active, waiting, slots: engine.settings.slots, cached_tokens };
     let mut history = lock(&engine.load_history);
     let now = unix_ms();
+    // Load is sampled only on request, so the first report is served without a delay.
     history.0.push_back((now, report));
     let visible_until = now.saturating_sub(engine.settings.load_lag_ms);
     while history.0.len() > 1 && history.0[1].0 <= visible_until {
--- a/crates/standins/src/engine/batch.rs
+++ b/crates/standins/src/engine/batch.rs
@@ -11,10 +11,11 @@
 struct Queue {
     active: usize,
     arrivals: u64,
+    /// Priority and arrival number of each waiting request.
     waiting: BTreeSet<(u32, u64)>,
 }
 
-/// A fixed number of slots shared by all requests.
+/// Running batch of the engine, with a fixed number of slots and a queue of waiting requests.
 #[derive(Debug)]
 pub struct Batch {
     slots: usize,
@@ -33,7 +34,7 @@
     }
 }
 
-/// Removes a request from the queue when dropped, also if it was cancelled before it got a slot.
+/// Removes a request from the queue when dropped, even if it is cancelled before it gets a slot.
 struct WaitingGuard<'a>(&'a Batch, (u32, u64));
 
 impl Drop for WaitingGuard<'_> {
@@ -48,7 +49,7 @@
         Self { slots, queue: Mutex::default(), changed: Notify::new() }
     }
 
-    /// Waits for a slot; requests with a lower `priority` value go first.
+    /// Waits for a slot; lower `priority` values are served first, then earlier arrivals.
     pub async fn acquire_slot(&self, priority: u32) -> SlotGuard<'_> {
         let ticket = {
             let mut queue = lock(&self.queue);
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -12,10 +12,12 @@
 /// Events whose numbers are multiples of this are not published, to simulate lost events.
 const LOSE_EVERY_NTH_EVENT: u64 = 7;
 
-/// A cache change published to schedulers.
+/// Change of a program's cached prefix by an insertion or release, published to schedulers.
+///
+/// Programs whose blocks are evicted by another program's insertion get no event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Sequence number of the event; a gap stands for an event that was not published.
+    /// Sequence number; a gap is an event that was not published.
     pub number: u64,
     /// Program whose prefix changed.
     pub program: String,
@@ -49,7 +51,8 @@
         Self { capacity_blocks, blocks: HashMap::new(), tick: 0, events: Vec::new() }
     }
 
-    /// Returns the number of leading tokens of `prompt` that are cached, and marks them as used.
+    /// Returns the number of leading tokens of `prompt` in cached blocks, and marks these blocks as
+    /// used.
     pub fn lookup(&mut self, prompt: &[&str]) -> u64 {
         self.tick += 1;
         let tick = self.tick;
@@ -92,7 +95,7 @@
         ((before - self.blocks.len()) * BLOCK_TOKENS) as u64
     }
 
-    /// Returns the number of cached tokens of each program.
+    /// Returns the number of cached tokens of each program; shared blocks count for each program.
     #[must_use]
     pub fn held_tokens(&self) -> BTreeMap<String, u64> {
         let mut held = BTreeMap::new();
@@ -122,6 +125,7 @@
     }
 }
 
+/// Returns a hash for each whole block of `prompt`, which also covers all preceding blocks.
 fn block_hashes(prompt: &[&str]) -> Vec<u64> {
     let mut seed = 0;
     let whole_blocks = prompt.chunks_exact(BLOCK_TOKENS);
--- a/crates/standins/src/engine/mod.rs
+++ b/crates/standins/src/engine/mod.rs
@@ -1,9 +1,9 @@
 //! Stand-in for a model engine.
 //!
-//! It runs continuous batching with a fixed number of slots, keeps a prefix cache of limited size,
-//! schedules requests by priority, streams tokens at a configured rate, resumes streams from an
-//! offset, and accepts orders with fencing numbers. The generated text depends only on the prompt
-//! and the requested number of tokens.
+//! It simulates continuous batching with a fixed number of slots assigned by priority, a prefix
+//! cache of limited size with LRU eviction, and a fixed interval between tokens. Streams can be
+//! resumed from an offset, and orders with stale fencing numbers are refused. The generated text
+//! depends only on the prompt and the requested number of tokens.
 
 mod api;
 mod batch;
@@ -42,10 +42,10 @@
     /// Delay before load reports and cache events become visible, in milliseconds.
     #[arg(long, default_value_t = 500)]
     pub load_lag_ms: u64,
-    /// Accepts orders whatever their fencing numbers.
+    /// Accepts orders regardless of their fencing numbers.
     #[arg(long)]
     pub ignore_fencing: bool,
-    /// Time for which generation continues without a reader, in milliseconds.
+    /// Time without a reader after which generation is aborted, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     pub resume_grace_ms: u32,
 }
@@ -71,18 +71,20 @@
     batch: Batch,
     cache: Mutex<PrefixCache>,
     requests: Mutex<Vec<RecordedRequest>>,
+    /// Feeds by request id, including those of non-streaming and finished requests.
     feeds: Mutex<HashMap<String, Arc<CallFeed>>>,
     faults: Mutex<EngineFaults>,
+    /// Highest fencing number seen.
     fencing_number: Mutex<u64>,
     load_history: Mutex<api::LoadHistory>,
 }
 
 impl Engine {
-    /// Serves the stand-in on a thread of its own and returns the bound address.
+    /// Starts the stand-in on a new thread and returns the bound address.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Fails when the address cannot be bound or the thread cannot be started.
     pub fn spawn(listen: SocketAddr, settings: EngineSettings) -> io::Result<SocketAddr> {
         let engine = Self {
             batch: Batch::new(settings.slots),
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -10,7 +10,8 @@
     prompt.split_whitespace().collect()
 }
 
-/// Returns the number of tokens to generate; the last word `tokens=N` in the prompt requests N.
+/// Returns the number of tokens to generate: N of the last word `tokens=N` in the prompt, or the
+/// default, limited to at least 1 and at most `max_tokens`.
 pub fn completion_tokens(prompt: &str, max_tokens: u64) -> u64 {
     let requested = prompt.split_whitespace().rev().find_map(|word| word.strip_prefix("tokens="));
     let requested =
@@ -27,7 +28,6 @@
     if index == 0 { word } else { format!(" {word}") }
 }
 
-/// Returns the hash of a prompt.
 pub fn prompt_hash(prompt: &str) -> u64 {
     xxh3_64(prompt.as_bytes())
 }
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection of the two stand-ins for the platform's store.
+//! Fault injection for the platform and metadata store stand-ins.
 
 use std::sync::Mutex;
 
@@ -12,11 +12,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StoreFaults {
-    /// Whether to answer every call with 503.
+    /// Whether to answer every call with 503, except those that control the stand-in.
     pub outage: bool,
-    /// Delay before each call is executed, in milliseconds.
+    /// Delay before each call is executed and before each poll of a waiting feed call, in
+    /// milliseconds.
     pub delay_ms: u32,
-    /// Number of further transactions to execute and answer with 504, closing the connection.
+    /// Number of upcoming transactions to execute but answer with 504 on a connection that is then
+    /// closed.
     pub lose_answers: u32,
 }
 
@@ -30,7 +32,8 @@
         *lock(&self.0) = faults;
     }
 
-    /// Delays a call; returns the response to send during an outage, or `None` to execute the call.
+    /// Applies the configured delay; returns a 503 response during an outage, or `None` if the call
+    /// is to be executed.
     pub async fn intercept(&self) -> Option<HttpResponse> {
         let faults = lock(&self.0).clone();
         if faults.delay_ms > 0 {
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -1,4 +1,4 @@
-//! Helpers shared by the stand-ins: HTTP servers on threads, recorded requests and locks.
+//! Helpers shared by the stand-ins: HTTP server threads, recorded requests and locks.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -20,7 +20,7 @@
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Headers by lowercase name.
+    /// Headers by lowercase name; of a repeated header, the last value.
     pub headers: BTreeMap<String, String>,
     /// Body as text.
     pub body: String,
@@ -59,16 +59,17 @@
     u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Locks a mutex, ignoring poisoning: a stand-in's state stays usable after a failed assertion.
+/// Locks a mutex and ignores poisoning, so that the state stays usable after a panic, such as a
+/// failed assertion.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Serves `configure` on a thread of its own and returns the bound address.
+/// Serves the routes registered by `configure` on a new thread and returns the bound address.
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be bound.
+/// Fails when the address cannot be bound or the thread cannot be started.
 pub fn serve<T, F>(listen: SocketAddr, state: Arc<T>, configure: F) -> io::Result<SocketAddr>
 where
     T: Send + Sync + 'static,
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,10 @@
 //! Stand-ins for the systems that dandelionfront communicates with.
 //!
-//! Each stand-in keeps its state in memory and serves HTTP on one thread. Engines, services and
-//! runners record the requests that they execute, so that tests can count executions and search
-//! the requests for callers' keys. The examples of this package run stand-ins as programs.
+//! Servers keep their state in memory and handle HTTP requests on one worker thread. Engines,
+//! services and runners (backend servers of the users' platform) record the requests that they
+//! execute, so that tests can count executions and check that callers' keys were not forwarded.
+//! The examples of this package run stand-ins as programs. [`StepClock`], [`MemoryRows`] and
+//! [`PlatformState`] are used in process, without HTTP.
 
 pub mod clock;
 pub mod engine;
--- a/crates/standins/src/platform.rs
+++ b/crates/standins/src/platform.rs
@@ -1,5 +1,5 @@
-//! Stand-in for the platform: table service, object store and VM list over HTTP, with injected
-//! faults.
+//! HTTP stand-in for the services of [`dandelionfront_coordination::platform`]: table service,
+//! object store and VM list, with injected faults.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,12 +15,12 @@
 use crate::http::serve;
 use crate::table::PlatformState;
 
-/// Numbers of requests served.
+/// Numbers of executed requests; object deletions and VM list requests are not counted.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub struct PlatformStats {
     /// Reads of rows and ranges.
     pub reads: AtomicU64,
-    /// Transactions.
+    /// Transactions, including those that conflict.
     pub writes: AtomicU64,
     /// Reads and writes of objects.
     pub objects: AtomicU64,
@@ -35,11 +35,11 @@
 }
 
 impl Platform {
-    /// Serves the stand-in on a thread of its own and returns the bound address.
+    /// Starts the stand-in on a new thread and returns the bound address.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Fails when the address cannot be bound or the thread cannot be started.
     pub fn spawn(listen: SocketAddr) -> io::Result<SocketAddr> {
         serve(listen, Arc::new(Self::default()), routes)
     }
--- a/crates/standins/src/proxy.rs
+++ b/crates/standins/src/proxy.rs
@@ -22,17 +22,17 @@
     pub refuse: bool,
     /// Closes each connection after this many bytes from the target.
     pub cut_after_bytes: Option<usize>,
-    /// Delay of each chunk in both directions, in milliseconds.
+    /// Delay before each chunk of data is forwarded, in either direction, in milliseconds.
     pub delay_ms: u64,
-    /// Discards all data on connections opened before the faults were set.
+    /// Discards all data on connections opened before the faults were last set.
     pub silence_open: bool,
     /// Discards all data on all connections.
     pub silence_all: bool,
-    /// Closes the connections opened before the faults were set.
+    /// Closes the connections opened before the faults were last set.
     pub close_open: bool,
 }
 
-/// A fault-injecting proxy to one target.
+/// TCP proxy that forwards connections to one target and injects faults.
 #[derive(Debug)]
 pub struct FaultProxy {
     target: SocketAddr,
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when an address cannot be bound.
+    /// Fails when an address cannot be bound or a thread cannot be started.
     pub fn spawn(
         listen: SocketAddr,
         control: SocketAddr,
@@ -68,7 +68,7 @@
         Ok((address, control))
     }
 
-    /// Replaces the faults; `silence_open` and `close_open` apply to connections already open.
+    /// Replaces the faults.
     pub fn set_faults(&self, faults: ProxyFaults) {
         *lock(&self.faults) = faults;
         self.generation.send_modify(|generation| *generation += 1);
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -17,18 +17,19 @@
 /// Faults to inject into [`MemoryRows`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RowFaults {
-    /// Refuses every call.
+    /// Refuses every call with status 503.
     pub outage: bool,
-    /// Number of further writes that take effect but whose answers are lost.
+    /// Number of upcoming writes that take effect but fail with [`RowStoreError::AnswerLost`].
     pub lose_answers: u32,
-    /// Number of further writes that are lost before they take effect.
+    /// Number of upcoming writes that fail with [`RowStoreError::AnswerLost`] and take no effect.
     pub lose_writes: u32,
 }
 
-/// The rows of all tables, with the history of their changes.
+/// Versioned rows of all tables, with the history of their changes.
 #[derive(Debug, Default)]
 pub struct RowTables {
     rows: BTreeMap<RowName, VersionedRow>,
+    /// Changed rows with the version of each change, oldest first.
     history: Vec<(RowName, u64)>,
     version: u64,
     /// Changes up to this version are no longer available.
@@ -39,12 +40,13 @@
 pub type RowUpdates = Vec<(RowName, Option<Vec<u8>>)>;
 
 impl RowTables {
-    /// Applies `updates` if each row in `expected` has the version given there, and returns the new
-    /// version.
+    /// Applies `updates` if each row in `expected` has the version given there, where 0 means that
+    /// the row is absent, and returns the new version.
     ///
     /// # Errors
     ///
-    /// Returns the current state of the rows in `expected` if any has a different version.
+    /// Returns the rows in `expected` that exist, in their current state, if the version of any row
+    /// differs.
     pub fn transact(
         &mut self,
         expected: &[(RowName, u64)],
@@ -71,7 +73,7 @@
         Ok(self.version)
     }
 
-    /// Returns the rows of a partition, starting at the key `from`.
+    /// Returns the rows of a partition in key order, starting at the key `from`.
     pub fn range<'a>(
         &'a self,
         table: &'a str,
@@ -82,8 +84,10 @@
         self.rows.range(start..).take_while(move |(name, _)| name.0 == table && name.1 == part)
     }
 
-    /// Returns the newest change of each row of `table` changed after `version`, or `None` if the
-    /// history does not reach back that far.
+    /// Returns the latest change of each row of `table` that changed after `version`, or `None` if
+    /// that part of the history was truncated.
+    ///
+    /// Of several rows of `table` changed by one transaction, only the last one is returned.
     #[must_use]
     pub fn changes(&self, table: &str, version: u64) -> Option<Vec<RowChange>> {
         if version < self.truncated_version {
@@ -114,7 +118,7 @@
         self.truncated_version = self.version;
     }
 
-    /// Returns the version of the newest transaction.
+    /// Returns the version of the latest transaction.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
@@ -135,7 +139,8 @@
         *lock(&self.faults) = faults;
     }
 
-    /// Returns the number of write calls that were not refused.
+    /// Returns the number of write calls received outside outages, including conflicting and lost
+    /// ones.
     #[must_use]
     pub fn write_count(&self) -> u64 {
         *lock(&self.writes)
@@ -165,7 +170,7 @@
     async fn write(&self, write: RowWrite<'_>) -> Result<WriteOutcome, RowStoreError> {
         self.check_available()?;
         *lock(&self.writes) += 1;
-        let answer_lost = RowStoreError::AnswerLost { detail: "fault".to_owned() };
+        let answer_lost = RowStoreError::AnswerLost { detail: "injected fault".to_owned() };
         if consume_one(&mut lock(&self.faults).lose_writes) {
             return Err(answer_lost);
         }
--- a/crates/standins/src/service.rs
+++ b/crates/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service that records every call it executes.
+//! Stand-in for a plain service; records every call that it executes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -28,11 +28,11 @@
 }
 
 impl Service {
-    /// Serves the stand-in on a thread of its own and returns the bound address.
+    /// Starts the stand-in on a new thread and returns the bound address.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Fails when the address cannot be bound or the thread cannot be started.
     pub fn spawn(listen: SocketAddr, settings: ServiceSettings) -> io::Result<SocketAddr> {
         serve(listen, Arc::new(Self { settings, requests: Mutex::default() }), routes)
     }
--- a/crates/standins/src/site/mod.rs
+++ b/crates/standins/src/site/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins that implement the HTTP formats of the users' platform.
+//! Stand-ins for the users' platform, on which the daemon's `front` module runs: backend server
+//! and metadata store.
 
 pub mod runner;
 pub mod store;
--- a/crates/standins/src/site/runner.rs
+++ b/crates/standins/src/site/runner.rs
@@ -18,11 +18,11 @@
 /// Settings of the backend server stand-in.
 #[derive(Debug, Clone)]
 pub struct RunnerSettings {
-    /// Instance identifier that requests must name in `expect-instance`.
+    /// Instance identifier; requests whose `expect-instance` header differs are refused with 421.
     pub id: String,
     /// Number of events in a complete stream.
     pub event_count: u64,
-    /// Delay before each event of a stream, or before an answer that is not streamed.
+    /// Delay before each event of a stream, or before a non-streamed answer, in milliseconds.
     pub delay_ms: u32,
 }
 
@@ -30,13 +30,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RunnerFaults {
-    /// Number of further requests to refuse without executing them.
+    /// Number of upcoming requests to refuse without executing them.
     pub refuse: u32,
-    /// Number of further streams to cut in the middle of their second event.
+    /// Number of upcoming streams to cut in the middle of their second event.
     pub cut_streams: u32,
-    /// Number of further requests to execute without a complete answer, closing the connection.
+    /// Number of upcoming requests to execute before closing the connection without a complete
+    /// answer.
     pub lose_answers: u32,
-    /// Number of further requests to answer with the identifier of a different request.
+    /// Number of upcoming requests to answer with a wrong `request-id` header, `other`.
     pub answer_foreign: u32,
 }
 
@@ -50,11 +51,11 @@
 }
 
 impl Runner {
-    /// Serves the stand-in on a thread of its own and returns the bound address.
+    /// Starts the stand-in on a new thread and returns the bound address.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Fails when the address cannot be bound or the thread cannot be started.
     pub fn spawn(listen: SocketAddr, settings: RunnerSettings) -> io::Result<SocketAddr> {
         let runner = Self {
             settings,
@@ -94,7 +95,7 @@
     HttpResponse::Ok().json(&json!({ "open": open }))
 }
 
-/// Counts a stream as open until dropped.
+/// Decrements the number of open streams when dropped.
 struct OpenStreamGuard(Shared);
 
 impl Drop for OpenStreamGuard {
@@ -140,6 +141,7 @@
     };
     let mut response = HttpResponse::Ok();
     response.header("request-id", answered_id);
+    // Stands in for the backend server's signature; it differs for each execution.
     response.header("server-seal", format!("{}.{number}", runner.settings.id));
     if path.contains("/stream/") {
         let first_id = header("last-event-id").parse::<u64>().unwrap_or_default() + 1;
@@ -149,7 +151,7 @@
     response.json(&json!({ "server": runner.settings.id, "execution": number }))
 }
 
-/// Returns a response whose body fails at once, which closes the connection.
+/// Returns a response whose body fails before its first byte, which closes the connection.
 fn truncated_response() -> HttpResponse {
     let error = futures_util::stream::once(async { Err::<Bytes, _>(io::Error::other("cut")) });
     HttpResponse::Ok().streaming(Box::pin(error))
@@ -169,7 +171,8 @@
             }
             sleep(Millis(runner.settings.delay_ms)).await;
             if is_cut && id == last_id {
-                // Half an event; the next id ends the events, and `cut` breaks the connection.
+                // Sends half of the event. The next id is above `last_id`, which ends `events`;
+                // `cut` then closes the connection.
                 let half = Bytes::from(format!("id: {id}\nda"));
                 return Some((Ok(half), u64::MAX - 1));
             }
--- a/crates/standins/src/site/store.rs
+++ b/crates/standins/src/site/store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's metadata store.
+//! Stand-in for the metadata store of the users' platform.
 
 use std::io;
 use std::net::SocketAddr;
@@ -83,6 +83,7 @@
     wait_ms: u64,
 }
 
+/// Default and maximum number of rows in a page.
 fn page_rows() -> usize {
     500
 }
@@ -91,11 +92,11 @@
 const FEED_POLL_INTERVAL: Millis = Millis(5);
 
 impl MetadataStore {
-    /// Serves the stand-in on a thread of its own and returns the bound address.
+    /// Starts the stand-in on a new thread and returns the bound address.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Fails when the address cannot be bound or the thread cannot be started.
     pub fn spawn(listen: SocketAddr) -> io::Result<SocketAddr> {
         serve(listen, Arc::new(Self::default()), routes)
     }
@@ -214,7 +215,8 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Unconditional write of a row, as by the operator or a backend server; no value removes it.
+/// Unconditional write that a test makes in place of the operator or a backend server; without
+/// `value`, the row is removed.
 #[derive(Debug, Deserialize)]
 struct DirectWrite {
     table: String,
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -1,4 +1,4 @@
-//! In-memory transactional tables, object store and VM list.
+//! In-memory state of the platform: transactional tables, objects and VM list.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
     version: u64,
 }
 
-/// Rows, objects and VM list in memory; every transaction is atomic.
+/// In-memory tables, objects and VM list; every transaction is atomic.
 #[derive(Debug, Default)]
 pub struct PlatformState {
     tables: Mutex<Tables>,
@@ -33,7 +33,8 @@
         lock(&self.tables).rows.get(&(table, key.to_owned())).cloned()
     }
 
-    /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`.
+    /// Reads up to `limit` rows, in key order, whose keys start with `prefix` and are greater than
+    /// `after`.
     #[must_use]
     pub fn read_range(&self, table: Table, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let tables = lock(&self.tables);
@@ -100,7 +101,7 @@
         lock(&self.vms).clone()
     }
 
-    /// Returns the platform's services, backed by this memory.
+    /// Returns a table service and an object store that use this state.
     #[must_use]
     pub fn platform(self: &Arc<Self>) -> Platform {
         let service = Rc::new(InProcessPlatform(Arc::clone(self)));
@@ -108,7 +109,7 @@
     }
 }
 
-/// Platform services that call a [`PlatformState`] directly.
+/// Platform services that access a [`PlatformState`] in process, without HTTP.
 #[derive(Debug, Clone)]
 pub struct InProcessPlatform(pub Arc<PlatformState>);
 
