--- a/crates/coordination/src/config/check.rs
+++ b/crates/coordination/src/config/check.rs
@@ -17,14 +17,14 @@
     pub line: usize,
 }
 
-/// A fault in an object set.
+/// A problem in an object set.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
     /// Position of the object or field, if it was read from a file.
     pub position: Option<Position>,
     /// Object and field, such as `route.desk.service`.
     pub object: String,
-    /// Description of the fault and how to fix it.
+    /// Description of the problem and how to fix it.
     pub message: String,
 }
 
@@ -37,11 +37,11 @@
     }
 }
 
-/// Returns every fault in `set`; a set without faults can be published.
+/// Returns every problem in `set`; a set without problems can be published.
 #[must_use]
 pub fn check(set: &ObjectSet) -> Vec<Problem> {
     let mut checker = Checker { set, problems: Vec::new() };
-    checker.check_values();
+    checker.check_ranges();
     set.team.iter().for_each(|(name, team)| checker.check_team(name, team));
     checker.check_keys();
     set.backend.iter().for_each(|(name, backend)| checker.check_backend(name, backend));
@@ -60,7 +60,7 @@
         self.problems.push(Problem { position: None, object, message: message.into() });
     }
 
-    fn check_values(&mut self) {
+    fn check_ranges(&mut self) {
         for (name, limit) in &self.set.limit {
             if !(limit.rate_per_s.is_finite() && limit.rate_per_s > 0.0) {
                 self.report(
@@ -229,8 +229,8 @@
     name: &str,
     known: impl Iterator<Item = &'a String>,
 ) -> String {
-    const SUGGESTIONS: usize = 5;
-    let known: Vec<&str> = known.take(SUGGESTIONS).map(String::as_str).collect();
+    const SUGGESTIONS_MAX: usize = 5;
+    let known: Vec<&str> = known.take(SUGGESTIONS_MAX).map(String::as_str).collect();
     let hint = if known.is_empty() { "none is defined".to_owned() } else { known.join(", ") };
     format!("there is no {kind} {name:?}; define it or name one that exists ({hint})")
 }
--- a/crates/coordination/src/journal.rs
+++ b/crates/coordination/src/journal.rs
@@ -20,7 +20,7 @@
 };
 use crate::record::{Entry, Record};
 
-/// Number of a commit within its incarnation, from 1.
+/// Number of a commit within its incarnation, counted from 1 without gaps.
 pub type CommitNumber = u64;
 
 /// Records committed together, stored as one journal row.
@@ -65,13 +65,13 @@
 /// Counters of the journal.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct JournalStats {
-    /// Commits that took effect.
+    /// Successful commits, including flushes without records.
     pub commits: u64,
     /// Records in those commits.
     pub records: u64,
-    /// Retries after the platform failed or its answer was lost.
+    /// Retries of platform requests that failed or whose response was lost.
     pub retries: u64,
-    /// Time spent in commits that took effect.
+    /// Time spent in those commits.
     pub commit_time: Duration,
 }
 
@@ -90,12 +90,12 @@
     incarnation: Rc<Incarnation>,
     settings: JournalSettings,
     pending: RefCell<Vec<PendingAppend>>,
-    records_queued: Notify,
+    commit_requested: Notify,
     in_flight: Cell<bool>,
-    commit_requested: Cell<bool>,
+    commit_due: Cell<bool>,
     stalled: Cell<bool>,
     next_number: Cell<CommitNumber>,
-    min_commit_interval: Cell<Duration>,
+    region_commit_interval: Cell<Duration>,
     stats: Cell<JournalStats>,
     applier: RefCell<Option<Rc<dyn CommitApplier>>>,
     observer: RefCell<Option<CommitObserver>>,
@@ -125,12 +125,12 @@
             incarnation,
             settings,
             pending: RefCell::default(),
-            records_queued: Notify::new(),
+            commit_requested: Notify::new(),
             in_flight: Cell::new(false),
-            commit_requested: Cell::new(false),
+            commit_due: Cell::new(false),
             stalled: Cell::new(false),
             next_number: Cell::new(1),
-            min_commit_interval: Cell::default(),
+            region_commit_interval: Cell::default(),
             stats: Cell::default(),
             applier: RefCell::new(None),
             observer: RefCell::new(None),
@@ -171,7 +171,9 @@
         self.stalled.get()
     }
 
-    /// Queues records and requests a commit; they are committed together and in order.
+    /// Queues records and requests a commit.
+    ///
+    /// The records of one append are committed together, and appends are committed in order.
     pub fn append(&self, entries: Vec<Entry>) -> CommitTicket {
         let (done, ticket) = oneshot::channel();
         if self.incarnation.is_fenced() {
@@ -179,7 +181,7 @@
             return ticket;
         }
         self.pending.borrow_mut().push(PendingAppend { entries, done });
-        self.records_queued.notify_one();
+        self.commit_requested.notify_one();
         ticket
     }
 
@@ -192,10 +194,11 @@
         }
     }
 
-    /// Sets the minimum time between the starts of two commits; a longer time in the settings
-    /// takes precedence.
-    pub fn set_min_commit_interval(&self, min_commit_interval: Duration) {
-        self.min_commit_interval.set(min_commit_interval);
+    /// Sets the commit interval that keeps the region within its write rate.
+    ///
+    /// The longer of it and [`JournalSettings::commit_interval`] applies.
+    pub fn set_region_commit_interval(&self, region_commit_interval: Duration) {
+        self.region_commit_interval.set(region_commit_interval);
     }
 
     /// Waits until everything appended so far is committed or the node is fenced.
@@ -210,23 +213,23 @@
     /// Commits queued records until the node is fenced.
     pub async fn run(&self) {
         while !self.incarnation.is_fenced() {
-            if !self.commit_requested.replace(false) {
-                self.records_queued.notified().await;
-                self.commit_requested.set(true);
+            if !self.commit_due.replace(false) {
+                self.commit_requested.notified().await;
+                self.commit_due.set(true);
             }
             let batch = self.take_batch();
             if batch.is_empty() {
                 continue;
             }
             // Appends that did not fit into the batch go into the next commit.
-            self.commit_requested.set(!self.pending.borrow().is_empty());
+            self.commit_due.set(!self.pending.borrow().is_empty());
             self.in_flight.set(true);
             let started = self.clock.monotonic();
             let result = self.commit(&batch).await;
             self.in_flight.set(false);
             let elapsed = self.clock.monotonic().saturating_sub(started);
             self.complete_batch(batch, &result, elapsed);
-            let interval = self.settings.commit_interval.max(self.min_commit_interval.get());
+            let interval = self.settings.commit_interval.max(self.region_commit_interval.get());
             if let Some(pause) = interval.checked_sub(elapsed) {
                 self.clock.sleep(pause).await;
             }
@@ -300,7 +303,7 @@
             match self.platform.table.transact(&transaction).await {
                 Ok(TransactionOutcome::Committed(_)) => break,
                 Ok(TransactionOutcome::Conflict) => {
-                    if self.is_committed(&key, &value).await? {
+                    if self.resolve_conflict(&key, &value).await? {
                         break;
                     }
                 }
@@ -312,10 +315,11 @@
         Ok(commit)
     }
 
-    /// Resolves a conflict; returns whether an earlier attempt of the commit took effect.
+    /// Finds the cause of a conflict; returns whether an earlier attempt of the commit took effect.
     ///
-    /// Otherwise the node's own row has a new version, or the node was fenced.
-    async fn is_committed(
+    /// If only the version of the node's own row has changed, adopts that version. Otherwise marks
+    /// the node as fenced and returns an error.
+    async fn resolve_conflict(
         &self,
         key: &str,
         value: &serde_json::Value,
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -1,4 +1,4 @@
-//! State shared by the requests and tasks of a node.
+//! State of a node.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -24,16 +24,18 @@
 use crate::front::connection::peers::Peers;
 use crate::front::connection::reach::StoreReachability;
 
-/// Shortest and longest `Retry-After` delay for callers over their team's limit.
+/// Minimum `Retry-After` delay for callers over their team's limit.
 const LIMIT_RETRY_AFTER_MIN_MS: u64 = 50;
+/// Maximum `Retry-After` delay for callers over their team's limit.
 const LIMIT_RETRY_AFTER_MAX_MS: u64 = 2_000;
-/// Divisor of the process's memory limit: cached turns may use an eighth of it.
+/// Cached turns may use the process's memory limit divided by this.
 const TURN_CACHE_MEMORY_DIVISOR: u64 = 8;
-/// Shortest and longest backoff between attempts to store a turn.
+/// First delay between attempts to store a turn; doubles with each attempt.
 const PERSIST_RETRY_DELAY_MIN: Duration = Duration::from_millis(50);
+/// Maximum delay between attempts to store a turn.
 const PERSIST_RETRY_DELAY_MAX: Duration = Duration::from_millis(400);
 
-/// Everything that the requests and tasks of a node share.
+/// State shared by the requests and tasks of a node.
 pub struct FrontNode {
     /// Settings of the process.
     pub settings: NodeSettings,
@@ -44,12 +46,12 @@
     /// The platform's store.
     pub store: StoreClient,
     /// Reachability of the store, directly and through other nodes.
-    pub reach: Rc<StoreReachability>,
+    pub store_reachability: Rc<StoreReachability>,
     /// Backend servers in the platform's list.
     pub servers: RefCell<ServerList>,
     /// Load and recent failures of backend servers.
     pub placement: RefCell<Placement>,
-    /// Limits of the teams, shared by all nodes.
+    /// Limits of the teams, which apply over all nodes.
     pub limiter: RefCell<UsageLimiter>,
     /// Token budgets of programs.
     pub ledgers: Ledgers,
@@ -65,8 +67,10 @@
     pub caller_requests: ActiveCount,
     table: RefCell<Rc<RoutingTable>>,
     freshness: RefCell<Freshness>,
-    has_servers: Cell<bool>,
-    has_members: Cell<bool>,
+    /// Whether the list of backend servers was read at least once.
+    has_read_servers: Cell<bool>,
+    /// Whether the list of the other nodes was read at least once and they had time to report.
+    has_read_members: Cell<bool>,
 }
 
 impl FrontNode {
@@ -75,7 +79,7 @@
     pub fn new(
         settings: NodeSettings,
         clock: FrontClock,
-        (store, reach): (StoreClient, Rc<StoreReachability>),
+        (store, store_reachability): (StoreClient, Rc<StoreReachability>),
         metrics: Rc<FrontMetrics>,
         peers: Rc<Peers>,
     ) -> Self {
@@ -88,7 +92,7 @@
         Self {
             metrics,
             store,
-            reach,
+            store_reachability,
             servers: RefCell::default(),
             placement: RefCell::default(),
             limiter: RefCell::default(),
@@ -100,8 +104,8 @@
             caller_requests: ActiveCount::default(),
             table: RefCell::default(),
             freshness: RefCell::new(Freshness::new(settings.key_withdrawal)),
-            has_servers: Cell::new(false),
-            has_members: Cell::new(false),
+            has_read_servers: Cell::new(false),
+            has_read_members: Cell::new(false),
             clock,
             settings,
         }
@@ -118,16 +122,17 @@
         self.table.replace(table);
     }
 
-    /// Records that the store had no newer configuration at `asked_at`.
-    pub fn prove_fresh(&self, asked_at: Duration) {
+    /// Records that the store had no newer valid configuration at `requested_at`.
+    pub fn confirm_config(&self, requested_at: Duration) {
         let was_fresh = self.freshness.borrow().is_fresh(self.clock.boot_now());
-        self.freshness.borrow_mut().confirm(asked_at);
+        self.freshness.borrow_mut().confirm(requested_at);
         if !was_fresh {
             log::info!("event=config_fresh version={}", self.table().version());
         }
     }
 
-    /// Checks that the configuration is recent enough to rely on its keys and routes.
+    /// Checks that the configuration was confirmed as current recently enough to rely on its keys
+    /// and routes.
     ///
     /// # Errors
     ///
@@ -138,6 +143,7 @@
         if freshness.is_fresh(now) {
             return Ok(());
         }
+        // -1 if never confirmed.
         let age_ms = freshness.age(now).map_or(-1, millis_i64);
         Err(Refusal::not_run(
             RefusalKind::ConfigStale,
@@ -145,8 +151,7 @@
         ))
     }
 
-    /// Takes a token from the limit of `team`; returns the delay before the request may
-    /// be sent.
+    /// Takes a token from the limit of `team`; returns the delay before the request may be sent.
     ///
     /// # Errors
     ///
@@ -171,7 +176,7 @@
         })
     }
 
-    /// Refunds the token of a request that was never sent.
+    /// Refunds the token of a request that no backend server may have run.
     pub fn refund_limit_token(&self, team: &str) {
         self.limiter.borrow_mut().refund(team_hash(team));
     }
@@ -180,18 +185,18 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.table().version() > 0
-            && self.has_servers.get()
-            && self.has_members.get()
+            && self.has_read_servers.get()
+            && self.has_read_members.get()
             && !self.stop.is_stopping()
-            && !self.reach.is_isolated()
+            && !self.store_reachability.is_isolated()
     }
 
-    /// Records that the list of backend servers was read.
-    pub fn note_servers_read(&self) {
+    /// Records that the list of backend servers was read, and updates its gauges.
+    pub fn record_servers_read(&self) {
         let servers = self.servers.borrow();
         self.metrics.servers.set(gauge_value(servers.len()));
         self.metrics.servers_draining.set(gauge_value(servers.draining_count()));
-        self.has_servers.set(true);
+        self.has_read_servers.set(true);
     }
 
     /// Updates the gauges of the configuration's age and of open requests and connections.
@@ -203,15 +208,15 @@
     }
 
     /// Records that the list of the other nodes was read and that they had time to report.
-    pub fn note_members_known(&self) {
-        if !self.has_members.replace(true) {
+    pub fn record_members_read(&self) {
+        if !self.has_read_members.replace(true) {
             let covered = self.limiter.borrow().covered_share(self.clock.monotonic_now());
             log::info!("event=members_known covered_share={covered:.2}");
         }
     }
 
     /// Logs changes to the list of backend servers and drops the state of removed servers.
-    pub fn note_server_changes(&self, changes: &[ServerChange]) {
+    pub fn apply_server_changes(&self, changes: &[ServerChange]) {
         for change in changes {
             match change {
                 ServerChange::Seen(id) => log::info!("event=server_seen server={id}"),
@@ -226,8 +231,8 @@
 
     /// Stores a turn; returns whether the store accepted it before `deadline`.
     ///
-    /// The answer ends only after that: a caller that got the complete answer can rely on the turn,
-    /// whatever fails afterwards.
+    /// The answer is completed only after the turn is stored, so that a caller with a complete
+    /// answer can continue from the turn, whatever fails afterwards.
     pub async fn persist_turn(
         &self,
         turn: &str,
@@ -242,9 +247,9 @@
                 Ok(Err(error)) => error.to_string(),
                 Err(_) => "the deadline passed".to_owned(),
             };
-            let is_retried = Instant::now() + delay < deadline;
-            log::warn!("event=turn_not_kept request={turn} cause=\"{cause}\" retried={is_retried}");
-            if !is_retried {
+            let will_retry = Instant::now() + delay < deadline;
+            log::warn!("event=turn_not_kept request={turn} cause=\"{cause}\" retried={will_retry}");
+            if !will_retry {
                 return false;
             }
             tokio::time::sleep(delay).await;
--- a/crates/daemon/tests/support/http.rs
+++ b/crates/daemon/tests/support/http.rs
@@ -7,17 +7,15 @@
 use ntex::time::{Millis, Seconds, timeout};
 use serde_json::Value;
 
-/// Connections open at the same time.
+/// Largest number of connections that are open at the same time.
 const CONNECTIONS_MAX: usize = 4096;
-/// Longest wait for any answer.
-const ANSWER_WAIT: Duration = Duration::from_secs(60);
+/// Longest time from sending a request to the end of its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A complete answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// HTTP status.
     pub status: u16,
-    /// Body.
     pub body: String,
 }
 
@@ -25,7 +23,7 @@
     /// Returns the body as JSON.
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.body)
-            .unwrap_or_else(|error| panic!("no JSON ({error}): {} {}", self.status, self.body))
+            .unwrap_or_else(|error| panic!("invalid JSON ({error}): {} {}", self.status, self.body))
     }
 
     /// Returns the field `run` of a refusal.
@@ -39,13 +37,13 @@
     }
 
     /// Panics unless the status is `expected`.
-    pub fn expect(self, expected: u16) -> Self {
-        assert_eq!(self.status, expected, "unexpected answer: {}", self.body);
+    pub fn expect_status(self, expected: u16) -> Self {
+        assert_eq!(self.status, expected, "unexpected status; body: {}", self.body);
         self
     }
 }
 
-/// Client without retries; every request uses a new connection.
+/// HTTP client that never retries and opens a new connection for each request.
 #[derive(Clone)]
 pub struct Http {
     client: Client,
@@ -66,13 +64,13 @@
         Self { client }
     }
 
-    /// Starts a request to `http://{address}{path}`.
+    /// Creates a request to `http://{address}{path}`.
     pub fn request(&self, method: &str, address: &str, path: &str) -> ClientRequest {
         let method = method.parse().expect("method is a constant");
         self.client.request(method, format!("http://{address}{path}"))
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub async fn send(
         &self,
         request: ClientRequest,
@@ -85,13 +83,13 @@
             let body = response.body().await.map_err(|error| error.to_string())?;
             Ok(Reply { status, body: String::from_utf8_lossy(&body).into_owned() })
         };
-        timeout(ANSWER_WAIT, exchange).await.unwrap_or_else(|()| Err("timeout".to_owned()))
+        timeout(REQUEST_TIMEOUT, exchange).await.unwrap_or_else(|()| Err("timeout".to_owned()))
     }
 
     /// Reads JSON from `path`.
     pub async fn get_json(&self, address: &str, path: &str) -> Value {
         let request = self.request("GET", address, path);
-        self.send(request, "").await.expect("GET answers").expect(200).json()
+        self.send(request, "").await.expect("GET answers").expect_status(200).json()
     }
 
     /// Writes JSON to `path`.
@@ -102,16 +100,20 @@
     }
 }
 
-/// Waits until `check` yields a value; panics with `what` after the bound.
+/// Polls `check` until it returns a value.
+///
+/// # Panics
+///
+/// Panics if there is no value after 60 seconds; `what` names the missing condition.
 pub async fn eventually<T, F: AsyncFnMut() -> Option<T>>(what: &str, mut check: F) -> T {
-    const BOUND: Duration = Duration::from_secs(60);
-    const PAUSE: Duration = Duration::from_millis(20);
-    let begun = std::time::Instant::now();
+    const TIMEOUT: Duration = Duration::from_secs(60);
+    const POLL_INTERVAL: Duration = Duration::from_millis(20);
+    let started = std::time::Instant::now();
     loop {
         if let Some(value) = check().await {
             return value;
         }
-        assert!(begun.elapsed() < BOUND, "gave up waiting until {what}");
-        ntex::time::sleep(PAUSE).await;
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting until {what}");
+        ntex::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/daemon/tests/support/site.rs
+++ b/crates/daemon/tests/support/site.rs
@@ -1,4 +1,4 @@
-//! Nodes on a stand-in of the users' platform.
+//! Nodes of a test together with a stand-in for the users' platform.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -11,24 +11,24 @@
 use super::http::{Http, Reply, eventually};
 use super::process::ChildProcess;
 
-/// Key of team `alpha`, whose limit is ample.
+/// Key of team `alpha`, whose limit no test reaches.
 pub const ALPHA_KEY: &str = "key-of-alpha";
 /// Key of team `beta`.
 pub const BETA_KEY: &str = "key-of-beta";
-/// Key of team `small`, which may send two requests and hardly any later.
+/// Key of team `small`, which has a burst of two requests and a rate of one in 100 seconds.
 pub const SMALL_KEY: &str = "key-of-small";
 /// Host of all routes.
 const HOST: &str = "calls.example";
-/// Longest wait for a node's first line.
-const START_WAIT: Duration = Duration::from_secs(20);
-/// Pause between two looks for it.
-const START_CHECK: Duration = Duration::from_millis(5);
-/// Events of a whole stream.
-pub const EVENTS: u64 = 4;
-/// Tokens that each event counts.
+/// Longest wait until a node has started or failed to start.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval between checks whether a node has started.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Number of events in a complete stream.
+pub const EVENTS_PER_STREAM: u64 = 4;
+/// Tokens that are counted for each event.
 pub const TOKENS_PER_EVENT: u64 = 10;
 
-/// One daemon process and its addresses.
+/// A node's process and its addresses.
 pub struct SiteNode {
     pub process: ChildProcess,
     pub listen: String,
@@ -38,9 +38,9 @@
 }
 
 impl SiteNode {
-    /// Waits until the node has bound its addresses; returns whether they were free.
-    fn has_started(&self) -> bool {
-        let deadline = Instant::now() + START_WAIT;
+    /// Waits until the node has bound its addresses; returns `false` if one was already in use.
+    fn wait_until_bound(&self) -> bool {
+        let deadline = Instant::now() + START_TIMEOUT;
         while Instant::now() < deadline {
             let lines = self.process.lines();
             if lines.iter().any(|line| line.contains("event=started")) {
@@ -51,7 +51,7 @@
                 assert!(failure.contains("Address already in use"), "{failure}");
                 return false;
             }
-            std::thread::sleep(START_CHECK);
+            std::thread::sleep(START_POLL_INTERVAL);
         }
         panic!("the node did not start: {:#?}", self.process.lines());
     }
@@ -69,7 +69,7 @@
     pub address: String,
 }
 
-/// Store, backend servers and nodes.
+/// The store, backend servers and nodes of a test.
 pub struct Site {
     pub http: Http,
     pub store: String,
@@ -79,7 +79,7 @@
     pub config: Value,
 }
 
-/// A request of a caller.
+/// A caller's request.
 pub struct Call<'a> {
     pub id: &'a str,
     pub method: &'a str,
@@ -100,19 +100,19 @@
     listener.local_addr().expect("bound")
 }
 
-fn route(prefix: &str, kind: &str, service: &str, more: &Value) -> Value {
+fn route(prefix: &str, kind: &str, service: &str, overrides: &Value) -> Value {
     let mut route = json!({
         "name": prefix.trim_matches('/'), "hostname": HOST, "pathPrefix": prefix, "kind": kind,
         "timeoutMs": 4000, "targetLatencyMs": 250, "priority": 0, "service": service,
         "maxAttempts": 2, "public": false,
     });
-    for (field, value) in more.as_object().expect("an object") {
+    for (field, value) in overrides.as_object().expect("an object") {
         route[field] = value.clone();
     }
     route
 }
 
-/// Returns the first configuration.
+/// Returns the configuration of the tests with the given version.
 pub fn config(version: u64) -> Value {
     json!({
         "version": version,
@@ -139,14 +139,16 @@
 }
 
 impl Site {
-    /// Starts a store, two engines, two services and `nodes` nodes that are ready.
+    /// Starts a store, two engines, two services and `nodes` nodes, and waits until the nodes are
+    /// ready.
     pub async fn start(nodes: usize) -> Self {
         let http = Http::new().await;
-        let any = "127.0.0.1:0".parse().expect("valid");
-        let store = MetadataStore::spawn(any).expect("starts").to_string();
+        let any_port = "127.0.0.1:0".parse().expect("valid");
+        let store = MetadataStore::spawn(any_port).expect("starts").to_string();
         let runner = |id: &str, delay_ms| {
-            let settings = RunnerSettings { id: id.to_owned(), event_count: EVENTS, delay_ms };
-            let address = Runner::spawn(any, settings).expect("starts").to_string();
+            let settings =
+                RunnerSettings { id: id.to_owned(), event_count: EVENTS_PER_STREAM, delay_ms };
+            let address = Runner::spawn(any_port, settings).expect("starts").to_string();
             SiteRunner { id: id.to_owned(), address }
         };
         let engines = vec![runner("engine-1", 2), runner("engine-2", 2)];
@@ -154,9 +156,15 @@
         let config = config(3);
         let mut site = Self { http, store, engines, services, nodes: Vec::new(), config };
         for index in 0..2 {
-            site.list(&site.engines[index].id, &site.engines[index].address, "geo", "ready").await;
-            site.list(&site.services[index].id, &site.services[index].address, "desk", "ready")
+            site.put_server(&site.engines[index].id, &site.engines[index].address, "geo", "ready")
                 .await;
+            site.put_server(
+                &site.services[index].id,
+                &site.services[index].address,
+                "desk",
+                "ready",
+            )
+            .await;
         }
         site.publish(site.config.clone()).await;
         site.add_nodes(nodes);
@@ -164,8 +172,8 @@
         site
     }
 
-    /// Writes the entry of a backend server.
-    pub async fn list(&self, id: &str, address: &str, service: &str, state: &str) {
+    /// Writes the row of a backend server to the store.
+    pub async fn put_server(&self, id: &str, address: &str, service: &str, state: &str) {
         let value = json!({
             "service": service, "address": address, "zone": "zone-a", "version": "v1", "slots": 4,
             "state": state, "coldRemainingMs": 0, "sequence": 1, "born": 1,
@@ -173,7 +181,7 @@
         self.put_row("servers", id, Some(value)).await;
     }
 
-    /// Writes or removes a row as the operator or a backend server does.
+    /// Writes a row as the operator or a backend server would, or removes it if `value` is `None`.
     pub async fn put_row(&self, table: &str, key: &str, value: Option<Value>) {
         let row = json!({ "table": table, "key": key, "value": value });
         self.http.put_json(&self.store, "/standin/rows", &row).await;
@@ -184,29 +192,29 @@
         self.put_row("op", "config", Some(config)).await;
     }
 
-    /// Sets the faults of a stand-in.
+    /// Sets the faults that the stand-in at `address` simulates.
     pub async fn set_faults(&self, address: &str, faults: &Value) {
         self.http.put_json(address, "/standin/faults", faults).await;
     }
 
-    /// Starts one more node.
+    /// Adds a node.
     pub fn add_node(&mut self) {
         self.add_nodes(1);
     }
 
-    /// Starts more nodes at the same time.
+    /// Adds `count` nodes that start at the same time.
     pub fn add_nodes(&mut self, count: usize) {
         self.add_nodes_with_store(count, &self.store.clone());
     }
 
-    /// Starts more nodes that reach the store at `store`.
+    /// Adds `count` nodes that use the store at the address `store`.
     ///
-    /// A free port may be taken by a test that runs beside this one before a node binds it; such a
-    /// node starts again with others.
+    /// Another test may take a free port before the node binds it; such a node is started again
+    /// with other ports.
     pub fn add_nodes_with_store(&mut self, count: usize, store: &str) {
         let nodes: Vec<SiteNode> = (0..count).map(|_| Self::start_node(store)).collect();
         for mut node in nodes {
-            while !node.has_started() {
+            while !node.wait_until_bound() {
                 node = Self::start_node(store);
             }
             self.nodes.push(node);
@@ -225,7 +233,7 @@
              [provider]\naddress = \"{store}\"\n",
         );
         let path = std::env::temp_dir().join(format!("dandelionfront-{}.toml", listen.port()));
-        std::fs::write(&path, settings).expect("the temporary folder is writable");
+        std::fs::write(&path, settings).expect("the temporary directory is writable");
         let args = ["front", "--settings", &path.display().to_string(), "--metrics-port"];
         let mut args: Vec<String> = args.iter().map(|arg| (*arg).to_owned()).collect();
         args.push(metrics.port().to_string());
@@ -254,27 +262,28 @@
     /// Returns the metrics of a node.
     pub async fn metrics(&self, node: usize) -> String {
         let request = self.http.request("GET", &self.nodes[node].metrics, "/metrics");
-        self.http.send(request, "").await.expect("an answer").expect(200).body
+        self.http.send(request, "").await.expect("the node answers").expect_status(200).body
     }
 
-    /// Replaces the engines by one that takes a second for each event.
+    /// Replaces the engines with one that takes a second for each event.
     pub async fn start_slow_engine(&self) -> SiteRunner {
-        let any = "127.0.0.1:0".parse().expect("valid");
+        let any_port = "127.0.0.1:0".parse().expect("valid");
         let id = "engine-slow".to_owned();
-        let settings = RunnerSettings { id: id.clone(), event_count: EVENTS, delay_ms: 1_000 };
-        let address = Runner::spawn(any, settings).expect("starts").to_string();
+        let settings =
+            RunnerSettings { id: id.clone(), event_count: EVENTS_PER_STREAM, delay_ms: 1_000 };
+        let address = Runner::spawn(any_port, settings).expect("starts").to_string();
         for engine in &self.engines {
             self.put_row("servers", &engine.id, None).await;
         }
-        self.list(&id, &address, "geo", "ready").await;
-        eventually("the node sends to the slow engine", async || {
+        self.put_server(&id, &address, "geo", "ready").await;
+        eventually("the node has the new list of servers", async || {
             self.metrics(0).await.contains("dandelionfront_servers 3\n").then_some(())
         })
         .await;
         SiteRunner { id, address }
     }
 
-    /// Builds a request to a node.
+    /// Creates a request to a node.
     pub fn request(&self, node: usize, call: &Call<'_>) -> ClientRequest {
         let address = &self.nodes[node].listen;
         let mut request = self.http.request(call.method, address, call.path);
@@ -286,13 +295,14 @@
         request
     }
 
-    /// Sends a request to a node and reads the whole answer.
+    /// Sends a request to a node and reads the complete response.
     pub async fn send(&self, node: usize, call: &Call<'_>) -> Result<Reply, String> {
         self.http.send(self.request(node, call), call.body).await
     }
 
-    /// Returns what the given backend servers ran, in the order of each.
-    pub async fn record(&self, runners: &[SiteRunner]) -> Vec<Value> {
+    /// Returns the requests that the given backend servers ran, grouped by server and in order of
+    /// execution within each group.
+    pub async fn recorded_requests(&self, runners: &[SiteRunner]) -> Vec<Value> {
         let mut record = Vec::new();
         for runner in runners {
             let ran = self.http.get_json(&runner.address, "/standin/record").await;
@@ -301,7 +311,7 @@
         record
     }
 
-    /// Returns a header of a recorded request.
+    /// Returns a header of a recorded request, or an empty string if it is missing.
     pub fn header<'a>(request: &'a Value, name: &str) -> &'a str {
         request["headers"][name].as_str().unwrap_or_default()
     }
