--- a/crates/standins/src/site/runner.rs
+++ b/crates/standins/src/site/runner.rs
@@ -18,11 +18,11 @@
 /// Settings of the backend server stand-in.
 #[derive(Debug, Clone)]
 pub struct RunnerSettings {
-    /// Instance identifier that requests must name in `expect-instance`.
+    /// Instance identifier; requests whose `expect-instance` header differs are refused with 421.
     pub id: String,
     /// Number of events in a complete stream.
     pub event_count: u64,
-    /// Delay before each event of a stream, or before an answer that is not streamed.
+    /// Delay before each event of a stream, or before a non-streamed answer, in milliseconds.
     pub delay_ms: u32,
 }
 
@@ -30,13 +30,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RunnerFaults {
-    /// Number of further requests to refuse without executing them.
+    /// Number of upcoming requests to refuse without executing them.
     pub refuse: u32,
-    /// Number of further streams to cut in the middle of their second event.
+    /// Number of upcoming streams to cut in the middle of their second event.
     pub cut_streams: u32,
-    /// Number of further requests to execute without a complete answer, closing the connection.
+    /// Number of upcoming requests to execute before closing the connection without a complete
+    /// answer.
     pub lose_answers: u32,
-    /// Number of further requests to answer with the identifier of a different request.
+    /// Number of upcoming requests to answer with a wrong `request-id` header, `other`.
     pub answer_foreign: u32,
 }
 
@@ -44,21 +45,21 @@
 #[derive(Debug)]
 pub struct Runner {
     settings: RunnerSettings,
-    record: Mutex<Vec<RecordedRequest>>,
+    requests: Mutex<Vec<RecordedRequest>>,
     faults: Mutex<RunnerFaults>,
     open_streams: AtomicU64,
 }
 
 impl Runner {
-    /// Serves the stand-in on a thread of its own and returns the bound address.
+    /// Starts the stand-in on a new thread and returns the bound address.
     ///
     /// # Errors
     ///
-    /// Fails when the address cannot be bound.
+    /// Fails when the address cannot be bound or the thread cannot be started.
     pub fn spawn(listen: SocketAddr, settings: RunnerSettings) -> io::Result<SocketAddr> {
         let runner = Self {
             settings,
-            record: Mutex::default(),
+            requests: Mutex::default(),
             faults: Mutex::default(),
             open_streams: AtomicU64::new(0),
         };
@@ -77,7 +78,7 @@
 
 fn routes(config: &mut web::ServiceConfig) {
     config
-        .service(web::resource("/standin/record").route(web::get().to(get_record)))
+        .service(web::resource("/standin/record").route(web::get().to(get_requests)))
         .service(web::resource("/standin/streams").route(web::get().to(get_streams)))
         .service(web::resource("/standin/faults").route(web::put().to(put_faults)))
         .service(web::resource("/{path}*").route(web::route().to(execute)));
@@ -85,8 +86,8 @@
 
 type Shared = State<Arc<Runner>>;
 
-async fn get_record(runner: Shared) -> HttpResponse {
-    HttpResponse::Ok().json(&*lock(&runner.record))
+async fn get_requests(runner: Shared) -> HttpResponse {
+    HttpResponse::Ok().json(&*lock(&runner.requests))
 }
 
 async fn get_streams(runner: Shared) -> HttpResponse {
@@ -94,7 +95,7 @@
     HttpResponse::Ok().json(&json!({ "open": open }))
 }
 
-/// Counts a stream as open until dropped.
+/// Decrements the number of open streams when dropped.
 struct OpenStreamGuard(Shared);
 
 impl Drop for OpenStreamGuard {
@@ -124,10 +125,10 @@
     }
     let path = request.uri().path_and_query().map_or("", |path| path.as_str());
     let number = {
-        let mut record = lock(&runner.record);
-        let number = record.len() as u64 + 1;
+        let mut requests = lock(&runner.requests);
+        let number = requests.len() as u64 + 1;
         let method = request.method().as_str();
-        record.push(RecordedRequest::new(number, method, path, request.headers(), &body));
+        requests.push(RecordedRequest::new(number, method, path, request.headers(), &body));
         number
     };
     if runner.consume_fault(|faults| &mut faults.lose_answers) {
@@ -140,6 +141,7 @@
     };
     let mut response = HttpResponse::Ok();
     response.header("request-id", answered_id);
+    // Stands in for the backend server's signature; it differs for each execution.
     response.header("server-seal", format!("{}.{number}", runner.settings.id));
     if path.contains("/stream/") {
         let first_id = header("last-event-id").parse::<u64>().unwrap_or_default() + 1;
@@ -149,7 +151,7 @@
     response.json(&json!({ "server": runner.settings.id, "execution": number }))
 }
 
-/// Returns a response whose body fails at once, which closes the connection.
+/// Returns a response whose body fails before its first byte, which closes the connection.
 fn truncated_response() -> HttpResponse {
     let error = futures_util::stream::once(async { Err::<Bytes, _>(io::Error::other("cut")) });
     HttpResponse::Ok().streaming(Box::pin(error))
@@ -169,7 +171,8 @@
             }
             sleep(Millis(runner.settings.delay_ms)).await;
             if is_cut && id == last_id {
-                // Half an event; the next id ends the events, and `tail` breaks the connection.
+                // Sends half of the event. The next id is above `last_id`, which ends `events`;
+                // `cut` then closes the connection.
                 let half = Bytes::from(format!("id: {id}\nda"));
                 return Some((Ok(half), u64::MAX - 1));
             }
@@ -177,11 +180,11 @@
             Some((Ok(event), id + 1))
         }
     });
-    let tail = futures_util::stream::unfold(is_cut, |cuts| async move {
-        cuts.then(|| (Err::<Bytes, _>(io::Error::other("cut")), false))
+    let cut = futures_util::stream::unfold(is_cut, |is_cut| async move {
+        is_cut.then(|| (Err::<Bytes, _>(io::Error::other("cut")), false))
     });
     response.header("content-type", "text/event-stream");
-    response.streaming(Box::pin(events.chain(tail)))
+    response.streaming(Box::pin(events.chain(cut)))
 }
 
 /// Returns the data of the event with the given `id`.
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -1,4 +1,4 @@
-//! In-memory transactional tables, object store and VM list.
+//! In-memory state of the platform: transactional tables, objects and VM list.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -18,22 +18,23 @@
     version: u64,
 }
 
-/// Rows, objects and VM list in memory; every transaction is atomic.
+/// In-memory tables, objects and VM list; every transaction is atomic.
 #[derive(Debug, Default)]
-pub struct MemoryTable {
+pub struct PlatformState {
     tables: Mutex<Tables>,
     objects: Mutex<BTreeMap<String, Vec<u8>>>,
     vms: Mutex<Vec<Vm>>,
 }
 
-impl MemoryTable {
+impl PlatformState {
     /// Reads one row.
     #[must_use]
     pub fn read(&self, table: Table, key: &str) -> Option<Row> {
         lock(&self.tables).rows.get(&(table, key.to_owned())).cloned()
     }
 
-    /// Reads up to `limit` rows whose keys start with `prefix` and sort after `after`.
+    /// Reads up to `limit` rows, in key order, whose keys start with `prefix` and are greater than
+    /// `after`.
     #[must_use]
     pub fn read_range(&self, table: Table, prefix: &str, after: &str, limit: usize) -> Vec<Row> {
         let tables = lock(&self.tables);
@@ -100,20 +101,20 @@
         lock(&self.vms).clone()
     }
 
-    /// Returns the platform's services, backed by this memory.
+    /// Returns a table service and an object store that use this state.
     #[must_use]
     pub fn platform(self: &Arc<Self>) -> Platform {
-        let service = Rc::new(MemoryPlatform(Arc::clone(self)));
+        let service = Rc::new(InProcessPlatform(Arc::clone(self)));
         Platform { table: Rc::clone(&service) as _, objects: service }
     }
 }
 
-/// Platform services that call a [`MemoryTable`] directly.
+/// Platform services that access a [`PlatformState`] in process, without HTTP.
 #[derive(Debug, Clone)]
-pub struct MemoryPlatform(pub Arc<MemoryTable>);
+pub struct InProcessPlatform(pub Arc<PlatformState>);
 
 #[async_trait(?Send)]
-impl TableService for MemoryPlatform {
+impl TableService for InProcessPlatform {
     async fn get(&self, table: Table, key: &str) -> PlatformResult<Option<Row>> {
         Ok(self.0.read(table, key))
     }
@@ -134,7 +135,7 @@
 }
 
 #[async_trait(?Send)]
-impl ObjectStore for MemoryPlatform {
+impl ObjectStore for InProcessPlatform {
     async fn put(&self, key: &str, bytes: Vec<u8>) -> PlatformResult<()> {
         self.0.put_object(key, bytes);
         Ok(())
@@ -151,7 +152,7 @@
 }
 
 #[async_trait(?Send)]
-impl VmList for MemoryPlatform {
+impl VmList for InProcessPlatform {
     async fn vms(&self) -> PlatformResult<Vec<Vm>> {
         Ok(self.0.list_vms())
     }
