--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -26,7 +26,7 @@
 const AT_MOST_ONCE_IDLE_MAX: Duration = Duration::from_millis(1_500);
 /// Maximum idle time of a connection that is reused for other requests; in effect, the lower limit
 /// of the connection itself applies.
-const IDLE_MAX: Duration = Duration::from_secs(10);
+const REPEATABLE_IDLE_MAX: Duration = Duration::from_secs(10);
 /// Delay before servers are tried again when all of them were busy or unreachable.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(15);
 /// A request may wait for a busy service for its remaining time divided by this.
@@ -250,7 +250,7 @@
 
     async fn connect(&self, server: &ServerEntry) -> io::Result<BackendConnection> {
         let may_repeat = self.admitted.route.repeat.may_repeat();
-        let idle_max = if may_repeat { IDLE_MAX } else { AT_MOST_ONCE_IDLE_MAX };
+        let idle_max = if may_repeat { REPEATABLE_IDLE_MAX } else { AT_MOST_ONCE_IDLE_MAX };
         if let Some(connection) = self.node.pool.take(server.address, idle_max) {
             return Ok(connection);
         }
