--- a/crates/daemon/src/front/connection/backend.rs
+++ b/crates/daemon/src/front/connection/backend.rs
@@ -26,8 +26,8 @@
 const TCP_USER_TIMEOUT_MS: u32 = 2_000;
 /// Maximum idle time of a connection.
 const IDLE_MAX: Duration = Duration::from_secs(4);
-/// Margin before the peer's idle timeout, so that no request is sent while the peer closes the
-/// connection.
+/// Subtracted from the idle limit of a connection whose peer announces an idle timeout, so that no
+/// request is sent while the peer closes the connection.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_200);
 /// Maximum size of a response head and of the read buffer.
 const READ_BUFFER_MAX_BYTES: usize = 64 * 1024;
@@ -127,8 +127,8 @@
 }
 
 impl BackendPool {
-    /// Takes the most recently used open connection, unless it was idle for longer than `idle_max`
-    /// or than its own limit.
+    /// Takes the most recently used open connection; if it was idle for longer than `idle_max` or
+    /// than its own limit, closes it and returns `None`.
     pub fn take(&self, address: SocketAddr, idle_max: Duration) -> Option<BackendConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
--- a/crates/daemon/src/front/connection/caller.rs
+++ b/crates/daemon/src/front/connection/caller.rs
@@ -130,7 +130,8 @@
     }
 }
 
-/// Reads a body; fails at once when its declared length exceeds `max_bytes`.
+/// Reads a body, after sending `100 Continue` if the caller expects it; fails at once when the
+/// declared length exceeds `max_bytes`.
 async fn read_body(
     io: &Io,
     decoder: &PayloadDecoder,
--- a/crates/daemon/src/front/connection/listener.rs
+++ b/crates/daemon/src/front/connection/listener.rs
@@ -49,7 +49,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the connection is closed.
+/// Fails when the socket cannot be registered with the runtime.
 pub fn open(stream: TcpStream, head_max_bytes: usize) -> io::Result<(Io, Codec)> {
     let http = HttpServiceConfig::new()
         .set_keepalive(KeepAlive::Os)
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -54,7 +54,7 @@
 struct Report {
     /// Random identifier of the process; differs after a restart.
     incarnation: u64,
-    /// Admissions since the start of the process and tokens left, by team.
+    /// Admissions since the start of the process and tokens left in the limit, by team.
     admitted: Vec<(TeamHash, Admitted)>,
     /// Requests in flight, by hash of the backend server's identifier.
     in_flight: Vec<(u32, u32)>,
@@ -137,12 +137,12 @@
         self.send_report(node, true).await;
     }
 
-    /// Sends one report to every member; returns the number of members.
+    /// Sends one report to every other known node; returns the number of these nodes.
     async fn send_report(&self, node: &FrontNode, is_leaving: bool) -> usize {
         let now = node.clock.monotonic_now();
         let members: Vec<SocketAddr> = {
             let limiter = node.limiter.borrow();
-            // The load and the avoided servers of silent nodes are outdated.
+            // Discard the outdated load and avoided servers of nodes that have stopped reporting.
             for (member, _) in limiter.members(now).filter(|(_, is_reporting)| !is_reporting) {
                 node.placement.borrow_mut().forget_peer(member);
             }
--- a/crates/daemon/src/front/connection/reach.rs
+++ b/crates/daemon/src/front/connection/reach.rs
@@ -20,8 +20,8 @@
 use super::store::HttpTransport;
 use crate::front::process::{FrontClock, FrontMetrics};
 
-/// The store is considered unreachable once direct calls have failed for this long, which is enough
-/// for a few calls.
+/// Time for which direct calls must have failed before the store is considered unreachable; long
+/// enough for a few calls to fail.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(500);
 /// Consecutive failed direct calls after which a failed call is retried through another node.
 ///
--- a/crates/daemon/src/front/connection/relay_server.rs
+++ b/crates/daemon/src/front/connection/relay_server.rs
@@ -22,10 +22,10 @@
 pub const ANSWER_LOST_STATUS: u16 = 504;
 /// Maximum size of a request head.
 const HEAD_MAX_BYTES: usize = 8 * 1024;
-/// Maximum size of a request body, above the store's own limit.
+/// Maximum size of a request body; larger than the store itself accepts.
 const BODY_MAX_BYTES: usize = 2 * 1024 * 1024;
-/// Maximum wait for the store's response, in addition to `FEED_WAIT`; the calling node has a
-/// shorter timeout.
+/// Maximum wait for the store's response, in addition to `FEED_WAIT`; the calling node gives up
+/// before their sum.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum time for which the store may hold a call until a change occurs.
 ///
--- a/crates/daemon/src/front/connection/store.rs
+++ b/crates/daemon/src/front/connection/store.rs
@@ -24,7 +24,8 @@
 const RESPONSE_TIMEOUT_MIN: Duration = Duration::from_millis(120);
 /// Response timeout as a multiple of the measured response time.
 const RESPONSE_TIMEOUT_FACTOR: u32 = 5;
-/// Each response lowers the timeout by its distance to the target divided by this.
+/// Divisor of the difference between the timeout and a lower target; each response lowers the
+/// timeout by the quotient.
 const RESPONSE_TIMEOUT_DECAY: u32 = 4;
 
 /// HTTP transport with its own connection pool.
--- a/crates/daemon/src/front/process/lifecycle.rs
+++ b/crates/daemon/src/front/process/lifecycle.rs
@@ -27,13 +27,13 @@
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval between writes of buffered log lines.
 const LOG_FLUSH_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval between housekeeping runs.
+/// Interval between runs that close idle connections, update gauges and evict idle programs.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(250);
 /// Idle time after which a program's budget is evicted from the cache; longer than programs pause
 /// between turns.
 const PROGRAM_IDLE_MAX: Duration = Duration::from_secs(300);
-/// At shutdown, claims of programs with a turn within this time are released, because these
-/// programs probably continue on other nodes.
+/// At shutdown, the unused part of the claims of programs with a turn within this time is released,
+/// because these programs probably continue on other nodes.
 const STOP_RELEASE_WINDOW: Duration = Duration::from_secs(10);
 /// Delay between the stop signal and the closing of idle caller connections.
 const STOP_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1_200);
--- a/crates/daemon/src/front/process/metrics.rs
+++ b/crates/daemon/src/front/process/metrics.rs
@@ -12,7 +12,7 @@
     BackendUnreachable,
     /// A backend server refused the request without running it.
     BackendBusy,
-    /// An attempt was lost and the request may run again.
+    /// An attempt may have run but got no complete answer, and the route allows another run.
     AttemptLost,
 }
 
@@ -48,10 +48,11 @@
     pub store_seconds: Histogram,
     /// Time that requests wait for a token of their team's limit, in seconds.
     pub limit_wait_seconds: Histogram,
-    /// Time from a request's arrival to its first attempt, including waits for the limit and the
-    /// store, in seconds.
+    /// Time from a request's arrival until it is first sent, including waits for the limit, the
+    /// store and a connection, in seconds.
     pub added_seconds: Histogram,
-    /// Time from a turn's arrival to its first event, in seconds.
+    /// Time from a request's arrival to its first event, in seconds; covers all event streams,
+    /// although the help text mentions only turns.
     pub first_event_seconds: Histogram,
     /// Version of the active configuration.
     pub config_version: IntGauge,
@@ -121,7 +122,7 @@
         self.refusals.with_label_values(&[kind.label()]).inc();
     }
 
-    /// Counts a retry.
+    /// Counts an intended retry; the remaining time may not allow it.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries.with_label_values(&[reason.label()]).inc();
     }
--- a/crates/daemon/src/front/process/node.rs
+++ b/crates/daemon/src/front/process/node.rs
@@ -28,7 +28,7 @@
 const LIMIT_RETRY_AFTER_MIN_MS: u64 = 50;
 /// Maximum `Retry-After` delay for callers over their team's limit.
 const LIMIT_RETRY_AFTER_MAX_MS: u64 = 2_000;
-/// Cached turns may use the process's memory limit divided by this.
+/// Divisor of the process's memory limit; the quotient is the maximum size of the turn cache.
 const TURN_CACHE_MEMORY_DIVISOR: u64 = 8;
 /// First delay between attempts to store a turn; doubles with each attempt.
 const PERSIST_RETRY_DELAY_MIN: Duration = Duration::from_millis(50);
--- a/crates/daemon/src/front/request/admission.rs
+++ b/crates/daemon/src/front/request/admission.rs
@@ -44,7 +44,8 @@
     pub arrived_at: Instant,
     /// Set for turns with a token budget or on a route that stores turns.
     pub turn: Option<RunningTurn>,
-    /// Placement key; requests with equal keys share prompts and prefer the same backend server.
+    /// Placement key; requests with equal keys often share a prompt and prefer the same backend
+    /// server.
     pub placement_key: String,
     /// Token taken from the team's limit.
     pub limit_reservation: LimitReservation,
--- a/crates/daemon/src/front/request/attempt.rs
+++ b/crates/daemon/src/front/request/attempt.rs
@@ -24,12 +24,12 @@
 /// Maximum idle time of a connection that is reused for a request that must not run twice. If the
 /// peer closes an idle connection while the request is sent, it is unknown whether the request ran.
 const AT_MOST_ONCE_IDLE_MAX: Duration = Duration::from_millis(1_500);
-/// Maximum idle time of a connection that is reused for other requests; in effect, the lower limit
-/// of the connection itself applies.
+/// Maximum idle time of a connection that is reused for a repeatable request; in effect, the lower
+/// limit of the connection itself applies.
 const REPEATABLE_IDLE_MAX: Duration = Duration::from_secs(10);
 /// Delay before servers are tried again when all of them were busy or unreachable.
 const BUSY_RETRY_DELAY: Duration = Duration::from_millis(15);
-/// A request may wait for a busy service for its remaining time divided by this.
+/// Divisor of a request's remaining time; the quotient is the maximum wait for a busy service.
 const BUSY_WAIT_DIVISOR: u32 = 3;
 /// Minimum remaining time for sending a request; with less, no answer would arrive in time.
 const SEND_TIME_MIN: Duration = Duration::from_millis(5);
@@ -54,8 +54,8 @@
 pub struct Attempts<'a> {
     pub(super) node: &'a Rc<FrontNode>,
     pub(super) admitted: Admitted,
-    /// Servers that were unreachable or refused the request without running it; skipped until all
-    /// servers are tried again.
+    /// Servers that were unreachable or refused the request without running it; placement skips
+    /// them until the list is cleared.
     excluded: Vec<BackendId>,
     /// Servers that may have run the request, in the order of their first possible run.
     may_have_run_on: Vec<BackendId>,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Sends a request to backend servers until it is answered or refused for good.
+/// Sends a request to backend servers until it is answered or fails.
 pub async fn run(
     node: &Rc<FrontNode>,
     admitted: Admitted,
@@ -118,7 +118,7 @@
     }
 }
 
-/// Result of one attempt: `Some` ends the request, `None` means that another attempt follows.
+/// Result of one attempt: `Ok(None)` if another attempt follows; any other value ends the request.
 type AttemptResult = Result<Option<Result<(), Failure>>, Failure>;
 
 impl Attempts<'_> {
@@ -170,7 +170,8 @@
         result
     }
 
-    /// Refuses the request if its key was withdrawn after admission.
+    /// Refuses the request if its key was withdrawn after admission or if the configuration is no
+    /// longer confirmed as current.
     fn recheck_key(&self) -> Result<(), Failure> {
         let Some(team) = &self.admitted.team else { return Ok(()) };
         self.node.require_fresh().map_err(|refusal| self.failure_before_send(refusal))?;
@@ -226,8 +227,8 @@
         self.node.placement.borrow().choose(placement_request, ready, now).cloned()
     }
 
-    /// Returns the server for the next attempt once the route's limit on the number of servers is
-    /// reached; `None` below the limit, or when that server is not ready.
+    /// Returns the server that was added last to `may_have_run_on`, if the route's limit on the
+    /// number of servers is reached and that server is ready.
     fn pinned_server(&self) -> Option<&BackendId> {
         let server_count = u32::try_from(self.may_have_run_on.len()).unwrap_or(u32::MAX);
         let last = self.may_have_run_on.last()?;
--- a/crates/daemon/src/front/request/turn.rs
+++ b/crates/daemon/src/front/request/turn.rs
@@ -40,7 +40,8 @@
     pub turn: Option<RunningTurn>,
     /// Body to send, including the history.
     pub body: Bytes,
-    /// Placement key; requests with equal keys share prompts and prefer the same backend server.
+    /// Placement key; requests with equal keys often share a prompt and prefer the same backend
+    /// server.
     pub placement_key: String,
     /// Whether the request is the first turn of a program with a budget.
     pub starts_program: bool,
@@ -94,15 +95,15 @@
 }
 
 /// Returns the placement key: the affinity key, the program's id or the request's id, whichever is
-/// set first. Requests with a common prompt share the key.
+/// set first. Requests with the same affinity key or program often have a common prompt.
 fn placement_key(context: &RequestContext) -> String {
     let program = context.program.as_ref().map(|program| &program.id);
     let affinity = context.affinity.as_ref();
     affinity.or(program).unwrap_or(&context.id).clone()
 }
 
-/// A store operation may take the remaining time divided by this, after which the request is
-/// refused.
+/// Divisor of a request's remaining time; the quotient is the timeout of a store operation, after
+/// which the request is refused.
 const STORE_WAIT_DIVISOR: u32 = 2;
 
 async fn with_store_timeout<T>(
