--- a/crates/coordination/src/freshness.rs
+++ b/crates/coordination/src/freshness.rs
@@ -1,11 +1,12 @@
-//! Tracking of when a node last confirmed that its configuration is current.
+//! Tracks when a node last confirmed that its configuration is current.
 
 use std::time::Duration;
 
-/// Part of the withdrawal time reserved for forwarding an accepted request to a backend server.
+/// Part of the time within which a withdrawn key must stop working, reserved for forwarding an
+/// accepted request to a backend server.
 const WITHDRAWAL_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time of the last confirmation, on a clock that includes time in suspend.
+/// Time of the last confirmation, on a clock that also runs while the VM is suspended.
 #[derive(Debug, Clone)]
 pub struct Freshness {
     valid_for: Duration,
@@ -13,7 +14,7 @@
 }
 
 impl Freshness {
-    /// Creates an unconfirmed state for keys that must stop working within `key_withdrawal`.
+    /// Creates an unconfirmed state; withdrawn keys must stop working within `key_withdrawal`.
     #[must_use]
     pub fn new(key_withdrawal: Duration) -> Self {
         Self { valid_for: key_withdrawal.saturating_sub(WITHDRAWAL_MARGIN), confirmed_at: None }
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -1,10 +1,9 @@
 //! Token budgets of programs, stored in one row per program.
 //!
 //! A node starts a turn only if its claim in the row covers the turn's tokens, so the total over
-//! all nodes stays within the budget whatever fails. A claim covers several turns ahead. One write
-//! then suffices for most of a program, and a started program continues during a store outage. A
-//! node that finds the budget claimed by others asks them to release the tokens that they do not
-//! use.
+//! all nodes never exceeds the budget, even during failures. A claim also covers a few later turns,
+//! so that most turns need no write and a started program continues during a store outage. A node
+//! that finds the budget claimed by others asks them to release the tokens that they do not use.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -20,9 +19,11 @@
 
 /// Table of the ledgers.
 pub const LEDGER_TABLE: &str = "ledgers";
-/// Partitions of the table; each supports 200 writes per second, and the whole store 800.
+/// Number of partitions of the table. The store supports 200 writes per second in each partition
+/// and 800 in total.
 const LEDGER_PARTS: u64 = 64;
-/// Number of write conflicts after which a reservation fails; each means that another node wrote.
+/// Maximum number of attempts per reservation or release. Each write conflict, which means that
+/// another node wrote the row, each rate-limited write and each read of the row uses one up.
 const ATTEMPTS_MAX: u32 = 16;
 
 /// Number of retries of rate-limited writes after which a reservation fails.
@@ -31,25 +32,26 @@
 const RATE_LIMIT_BACKOFF_MS: std::ops::Range<u64> = 20..120;
 /// HTTP status of a rate-limited call to the store.
 const RATE_LIMIT_STATUS: u16 = 429;
-/// Maximum number of attempts to read a row whose answers are lost.
+/// Maximum number of attempts to read a row when answers are lost.
 const READ_ATTEMPTS_MAX: u32 = 4;
-/// Maximum number of further turns that a claim covers. The limit bounds the loss when a node is
-/// killed, because the tokens it had claimed are lost to their programs.
+/// Maximum number of later turns that a claim also covers. If a node is killed, its programs lose
+/// the tokens that it had claimed, so this bounds the loss.
 const TURNS_AHEAD_MAX: u64 = 2;
-/// A claim covers further turns up to the unclaimed budget divided by this, which leaves tokens for
-/// other nodes.
+/// Divisor of the unclaimed budget: the result is the most that a claim takes for later turns, and
+/// the rest remains for other nodes.
 const AHEAD_DIVISOR: u64 = 2;
 /// Maximum rounds of release requests per reservation.
 const RELEASE_ROUNDS_MAX: u32 = 2;
 /// Initial backoff after release requests that did not free enough tokens. It doubles each time,
-/// because a program in an endless loop would otherwise cause a steady stream of requests.
+/// because a program that retries in an endless loop would otherwise cause a steady stream of
+/// requests.
 const RELEASE_BACKOFF_MIN: Duration = Duration::from_millis(250);
 /// Maximum backoff between release requests.
 const RELEASE_BACKOFF_MAX: Duration = Duration::from_secs(4);
 /// Time that other nodes get to release tokens before the row is read again.
 const RELEASE_WAIT: Duration = Duration::from_millis(25);
 
-/// Identifier of one run of a node, used in claims.
+/// Identifier of one process of a node, used in claims.
 pub type ClaimantId = String;
 
 /// Contents of a program's row.
@@ -99,7 +101,7 @@
         /// Cause.
         source: RowStoreError,
     },
-    /// Every write conflicted with a write of another node.
+    /// The attempts were used up, usually because other nodes wrote the row.
     #[snafu(display("the program's budget is contended; retry later"))]
     Contended,
 }
@@ -108,16 +110,16 @@
 struct CachedLedger {
     row_version: u64,
     ledger: Ledger,
-    /// Tokens delivered by ended turns under the claim and not yet settled in the row.
+    /// Tokens delivered by ended turns and not yet settled in the row.
     unsettled_tokens: u64,
     /// Tokens reserved for running turns.
     running_tokens: u64,
     used_at: Duration,
     /// Earliest time of the next release request to other nodes.
     next_release_request_at: Duration,
-    /// Number of consecutive reservations that used up their release requests without success.
+    /// Number of consecutive reservations whose release requests did not free enough tokens.
     failed_release_attempts: u32,
-    /// Whether this node has read or written the row since it was last evicted.
+    /// Whether this node has read or written the row.
     is_loaded: bool,
     /// A write whose answer was lost; it may still take effect seconds later.
     pending: Option<PendingWrite>,
@@ -151,7 +153,7 @@
     }
 }
 
-/// Sends release requests to other nodes.
+/// Sender of release requests to other nodes.
 ///
 /// The requests are not answered; the row shows whether tokens were released.
 pub trait ReleaseRequester {
@@ -170,7 +172,7 @@
 }
 
 impl Ledgers {
-    /// Creates an empty cache over `store`; `claimant` must be unique for each run of a node.
+    /// Creates an empty cache over `store`; `claimant` must be unique for each process of a node.
     #[must_use]
     pub fn new(
         store: SharedRowStore,
@@ -185,7 +187,8 @@
     ///
     /// # Errors
     ///
-    /// Fails when the budget does not cover the turn or when the store cannot tell.
+    /// Fails when the budget does not cover the turn, when the store fails, or when the row is
+    /// contended.
     pub async fn reserve(
         &self,
         program: &str,
@@ -218,8 +221,8 @@
             let Some(unclaimed) =
                 budget_tokens.checked_sub(committed_tokens.saturating_add(tokens_max))
             else {
-                // Another node may have released tokens since the row was last read.
                 if is_current {
+                    // Releases by other nodes help only if this node's own tokens fit the budget.
                     let own_tokens = next.settled_tokens + cached.running_tokens + tokens_max;
                     let is_requested = own_tokens <= budget_tokens
                         && release_rounds_left > 0
@@ -234,6 +237,7 @@
                     }
                     self.clock.sleep(RELEASE_WAIT).await;
                 }
+                // Another node may have released tokens since the row was last read.
                 self.refresh(program, &mut cached).await?;
                 is_current = true;
                 continue;
@@ -290,7 +294,8 @@
         );
     }
 
-    /// Replaces the reservation of an ended turn, `tokens_max`, by its `delivered_tokens`.
+    /// Ends a turn: replaces its reservation of `tokens_max` with its `delivered_tokens`, which a
+    /// later write settles in the row.
     pub async fn end_turn(&self, program: &str, tokens_max: u64, delivered_tokens: u64) {
         let cached = self.cached(program);
         let mut cached = cached.lock().await;
@@ -307,7 +312,7 @@
         self.release_claim(program, &mut cached).await;
     }
 
-    /// Releases the unused tokens of programs with a turn since `used_since`, a monotonic time;
+    /// Releases the unused tokens of programs last used at or after `used_since`, a monotonic time;
     /// returns the number of rows written.
     pub async fn release_unused_since(&self, used_since: Duration) -> usize {
         let mut written = 0;
@@ -320,7 +325,8 @@
         written
     }
 
-    /// Evicts programs without a turn since `used_before`, a monotonic time.
+    /// Evicts programs without running turns that were last used before `used_before`, a monotonic
+    /// time.
     ///
     /// Their claims stay in the rows. If such a program returns, its old claim is treated as
     /// delivered.
@@ -332,8 +338,8 @@
         });
     }
 
-    /// Writes the row with this node's claim reduced to running turns; returns whether it was
-    /// written.
+    /// Settles ended turns and releases the part of this node's claim that running turns do not
+    /// use; returns whether the row was written.
     async fn release_claim(&self, program: &str, cached: &mut CachedLedger) -> bool {
         for _ in 0..ATTEMPTS_MAX {
             if cached.own_claim(&self.claimant) == cached.running_tokens {
@@ -395,8 +401,8 @@
             Err(RowStoreError::AnswerLost { .. }) => {
                 let unsettled_tokens = cached.unsettled_tokens;
                 cached.pending = Some(PendingWrite { ledger: next.clone(), unsettled_tokens });
-                // The row shows whether the write took effect. A write that arrives later fails its
-                // version check as soon as another write has succeeded.
+                // The row shows whether the write took effect. If it is still in flight, it
+                // conflicts with the next successful write.
                 self.refresh(program, cached).await?;
                 Ok(cached.ledger == next)
             }
@@ -419,9 +425,9 @@
 }
 
 impl CachedLedger {
-    /// Replaces the cached row by the current one.
+    /// Replaces the cached row with the current one and completes a pending write that it contains.
     ///
-    /// A claim from before this node evicted the program is treated as delivered.
+    /// A claim from before an eviction is treated as delivered.
     fn adopt(&mut self, row: Option<VersionedRow>, claimant: &str) -> Result<(), ReserveError> {
         let (version, ledger) = match row {
             Some(row) => (
--- a/crates/coordination/src/limits/bucket.rs
+++ b/crates/coordination/src/limits/bucket.rs
@@ -1,4 +1,4 @@
-//! Token bucket that accrues tokens only while its holder may spend them.
+//! Token bucket that accrues tokens only during its holder's lease.
 
 use std::time::Duration;
 
@@ -31,9 +31,10 @@
 }
 
 impl Bucket {
-    /// Creates a bucket that holds the full burst of the limits that it is first used with.
+    /// Creates a full bucket; the limits of the first [`Bucket::take`] determine its size.
     #[must_use]
     pub fn filled(now: Duration) -> Self {
+        // The first `take` reduces this to the burst.
         Self { tokens: f64::MAX, updated_at: now }
     }
 
@@ -47,8 +48,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the time until a token has accrued, or `None` when `now` is not before
-    /// `lease_expiry` or the limits never allow a token.
+    /// Returns the time until a token has accrued, or `None` if the lease has expired or the rate
+    /// or burst is too low for a token ever to accrue.
     pub fn take(
         &mut self,
         limits: BucketLimits,
@@ -76,7 +77,7 @@
         self.tokens
     }
 
-    /// Adds the tokens accrued until `now`; time after `lease_expiry` adds none.
+    /// Adds the tokens accrued until `now` or `lease_expiry`, whichever is earlier.
     fn accrue(&mut self, limits: BucketLimits, now: Duration, lease_expiry: Duration) {
         let until = now.min(lease_expiry);
         if let Some(elapsed) = until.checked_sub(self.updated_at) {
--- a/crates/coordination/src/limits/escrow.rs
+++ b/crates/coordination/src/limits/escrow.rs
@@ -1,4 +1,5 @@
-//! Shares of team limits held by a node: creation, spending and, in [`moves`], transfer to other
+//! Rate limiter that splits each team's limit into shares. A node spends only the shares that it
+//! holds, so the total over all nodes stays within the limit; [`moves`] transfers shares to other
 //! nodes.
 
 mod moves;
@@ -33,7 +34,7 @@
 /// Maximum number of rounds in which a request asks the holders for a token.
 const ACQUIRE_ROUNDS_MAX: usize = 8;
 
-/// Settings of the limiter.
+/// Settings of a [`ShareLimiter`].
 #[derive(Debug, Clone)]
 pub struct LimitSettings {
     /// Maximum time for which a request waits for a token to accrue.
@@ -52,7 +53,7 @@
     row: LimitRow,
 }
 
-/// One node's view of the team limits, with the shares that it holds.
+/// Spends a node's shares of the team limits and requests tokens from other holders.
 pub struct ShareLimiter {
     table: Rc<dyn TableService>,
     clock: Rc<dyn Clock>,
@@ -63,11 +64,12 @@
     rows: RefCell<HashMap<TeamId, KnownRow>>,
     buckets: RefCell<HashMap<TeamId, Bucket>>,
     lost_members: LostMembers,
+    /// Whether [`Self::hand_over`] was called; this node spends no tokens afterwards.
     handed_over: Cell<bool>,
 }
 
 impl ShareLimiter {
-    /// Creates a view of the limits without any shares.
+    /// Creates a limiter that holds no shares.
     #[must_use]
     pub fn new(
         table: Rc<dyn TableService>,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Returns the number of teams whose split is known to this node.
+    /// Returns the number of teams whose limit row is known to this node.
     #[must_use]
     pub fn known_teams(&self) -> usize {
         self.rows.borrow().len()
@@ -102,8 +104,8 @@
     ///
     /// # Errors
     ///
-    /// Refuses the request with the time until the next token when the team exceeds its rate and
-    /// burst, or when no holder of the limit can be reached.
+    /// Refuses the request when the team exceeds its rate and burst, with the time until the next
+    /// token, or when no holder of the limit can be reached.
     pub async fn acquire(
         &self,
         team: &TeamId,
@@ -119,6 +121,7 @@
                 TakeReply::NotHolder => None,
             };
             next_token = wait.or(next_token);
+            // If no holder could answer, they are asked again after a short pause.
             let pause = wait.unwrap_or(self.settings.token_wait / 4);
             if self.clock.monotonic() + pause > deadline {
                 break;
@@ -130,8 +133,8 @@
 
     /// Takes one token from this node's own share, for itself or for another node.
     ///
-    /// `row_version` is the version of the split known to the requesting node. If this node knows
-    /// only an older one, it reloads the split first.
+    /// `row_version` is the version of the limit row known to the requesting node. If this node
+    /// knows only an older one, it reloads the row first.
     pub async fn take_own(
         &self,
         team: &TeamId,
@@ -148,16 +151,16 @@
         self.spend(team, limit)
     }
 
-    /// Loads the splits of all teams, creates those that this node is responsible for, and
-    /// transfers its surplus shares to other holders; returns whether every split is known and no
-    /// surplus share is left.
+    /// Loads the limit rows of all teams, creates missing rows of teams whose most preferred holder
+    /// is this node, and transfers this node's surplus shares to other holders. Returns whether
+    /// every row is known and no surplus share is left.
     ///
-    /// Preparing the splits before a team's first request makes limits independent of later
-    /// outages of the table.
+    /// Rows are prepared before a team's first request, so that spending tokens does not depend on
+    /// the table.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be read or written; the next call continues.
+    /// Fails when the platform cannot be read or written; the call can be repeated.
     pub async fn prepare(
         &self,
         config: &ConfigSnapshot,
@@ -183,7 +186,7 @@
             && self.surplus_shares(config).is_empty())
     }
 
-    /// Returns the limited teams whose split is not known to this node.
+    /// Returns the limited teams whose limit row is not known to this node.
     fn teams_without_row<'a>(
         &'a self,
         config: &'a ConfigSnapshot,
@@ -193,7 +196,7 @@
         limited.filter(|(team, _)| !self.rows.borrow().contains_key(*team))
     }
 
-    /// Reloads a team's split if the known version is older than `row_version`.
+    /// Reloads a team's limit row if the known version is older than `row_version`.
     ///
     /// # Errors
     ///
@@ -274,8 +277,8 @@
         Some(rows.get(team)?.row.share(self.incarnation.id())?.parts)
     }
 
-    /// Loads the row of a team, creates it if this node is responsible for it, and transfers the
-    /// share of a member that has left to this node if it is the preferred holder.
+    /// Loads a team's limit row. If this node is the most preferred holder, it creates a missing
+    /// row and takes over a share whose holder is no longer a member.
     async fn load(&self, team: &TeamId, limit: &Limit, members: &[Member]) -> PlatformResult<()> {
         let Some(row) = self.table.get(Table::Limits, team).await? else {
             return match self.initial_row(team, limit, members) {
@@ -285,8 +288,9 @@
         };
         let (_, known) = parse_row(row)?;
         let departed = known.row.shares.iter().find(|share| {
-            // A member's row is removed only by a planned stop, which transfers its shares first,
-            // or by the cleanup of a member that has been fenced for a long time.
+            // A holder without a member row no longer spends its share: the row is removed only by
+            // a planned stop, which transfers the shares first, or long after the member was
+            // fenced.
             !members.iter().any(|member| member.id == share.holder)
         });
         let departed = departed.map(|share| share.holder.clone());
@@ -300,8 +304,9 @@
         }
     }
 
-    /// Replaces the known row by a newer one. The bucket of a new share starts full only if the
-    /// share was never transferred and no row of the team was known before.
+    /// Replaces the known row with a newer one. The bucket of a new share starts full only if the
+    /// share was never transferred and no row of the team was known before; otherwise its tokens
+    /// may already have been spent.
     fn adopt(&self, team: TeamId, known: KnownRow) {
         let mut rows = self.rows.borrow_mut();
         let first_seen = !rows.contains_key(&team);
@@ -322,7 +327,7 @@
         rows.insert(team, known);
     }
 
-    /// Returns the initial split of a team if this node is its most preferred holder.
+    /// Returns the initial limit row of a team if this node is its most preferred holder.
     fn initial_row(&self, team: &str, limit: &Limit, members: &[Member]) -> Option<LimitRow> {
         let mut holders = preferred_holders(members, team);
         if holders.first().map(String::as_str) != Some(self.incarnation.id()) {
@@ -332,7 +337,8 @@
         Some(LimitRow::split(&holders))
     }
 
-    /// Creates rows in one transaction; after a conflict, each row is loaded at its first use.
+    /// Creates rows in one transaction. After a conflict none of them is created; each is loaded at
+    /// its first use or by the next [`ShareLimiter::prepare`].
     async fn create_rows(&self, batch: &[(TeamId, LimitRow)]) -> PlatformResult<()> {
         let mut transaction = Transaction::default().require(
             Table::Nodes,
@@ -365,7 +371,8 @@
             return Ok(true);
         }
         if let Some(row) = self.table.get(Table::Limits, team).await? {
-            // Another node wrote first; the next call is based on its row.
+            // The row or this node's member row has changed; the next call is based on the current
+            // row.
             let (team, known) = parse_row(row)?;
             self.adopt(team, known);
         }
@@ -373,7 +380,7 @@
     }
 }
 
-/// Returns the reply with the earlier token.
+/// Returns the reply with the earlier token; `known` must not be [`TakeReply::Taken`].
 fn sooner(known: TakeReply, other: TakeReply) -> TakeReply {
     match (&known, &other) {
         (TakeReply::Empty { wait_ms: first }, TakeReply::Empty { wait_ms: second }) => {
--- a/crates/coordination/src/limits/escrow/moves.rs
+++ b/crates/coordination/src/limits/escrow/moves.rs
@@ -1,5 +1,5 @@
-//! Transfer of shares between holders: surplus shares, shares of lost members, and all shares of a
-//! node at a planned stop.
+//! Transfer of shares between holders: surplus shares, shares of fenced members, and all shares of
+//! a node before a planned stop.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 use crate::platform::{PlatformResult, Table, scan_all};
 
 impl ShareLimiter {
-    /// Transfers this node's surplus shares to other holders after a burst was lowered.
+    /// Transfers this node's surplus shares, which arise when a burst is lowered, to other holders.
     pub(super) async fn transfer_surplus_shares(
         &self,
         config: &ConfigSnapshot,
@@ -29,7 +29,7 @@
     }
 
     /// Notifies `recipient` of a transferred share. If the message is lost, the next token request
-    /// to it has the same effect.
+    /// also makes the recipient reload the row.
     async fn notify_recipient(&self, recipient: &str, team: &TeamId, members: &[Member]) {
         let version = self.rows.borrow().get(team).map_or(0, |known| known.version);
         if let Some(member) = members.iter().find(|member| member.id == recipient)
@@ -54,11 +54,11 @@
         surplus.collect()
     }
 
-    /// Transfers the shares of lost members to this node once they can no longer be spent.
+    /// Transfers the shares of fenced members to this node after their leases have expired.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be read or written; the next call continues.
+    /// Fails when the platform cannot be read or written; the call can be repeated.
     pub async fn reclaim(&self, members: &[Member]) -> PlatformResult<()> {
         let now = self.clock.monotonic();
         self.lost_members.observe(members, now);
@@ -72,7 +72,7 @@
             let (team, known) = parse_row(row)?;
             let mut holders = reclaimable.iter().filter(|holder| known.row.share(holder).is_some());
             let Some(holder) = holders.next() else { continue };
-            // Only one share per row is transferred; the next call finds the rest.
+            // Each call transfers at most one share per row; the next call finds the rest.
             complete &= holders.next().is_none();
             info!("event=limit_reclaimed team={team} from={holder}");
             complete &= self.transfer(&team, known.clone(), holder, own_id).await?;
@@ -83,17 +83,19 @@
         Ok(())
     }
 
-    /// Returns fenced members that have been lost for at least `age`.
+    /// Returns the members that this node has seen as fenced for at least `age`.
     #[must_use]
     pub fn fenced_for(&self, age: Duration, members: &[Member]) -> Vec<IncarnationId> {
         self.lost_members.fenced_for(age, members, self.clock.monotonic())
     }
 
-    /// Transfers all shares to other nodes before a planned stop; this node spends no more tokens.
+    /// Stops spending and transfers this node's shares to other live nodes before a planned stop.
+    ///
+    /// A share stays with this node if its row changes meanwhile or no other node is live.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be written; the next call continues.
+    /// Fails when the platform cannot be read or written; the call can be repeated.
     pub async fn hand_over(&self, members: &[Member]) -> PlatformResult<()> {
         self.handed_over.set(true);
         self.buckets.borrow_mut().clear();
--- a/crates/coordination/src/limits/mod.rs
+++ b/crates/coordination/src/limits/mod.rs
@@ -1,4 +1,5 @@
-//! Team limits shared by all nodes, based on escrowed shares or on usage reports.
+//! Rate limits of teams over all nodes, enforced by shares that nodes hold ([`escrow`]) or by usage
+//! reports ([`usage`]).
 
 pub mod bucket;
 pub mod escrow;
--- a/crates/coordination/src/limits/reclaim.rs
+++ b/crates/coordination/src/limits/reclaim.rs
@@ -1,4 +1,4 @@
-//! Decision when the limit shares of a lost member may be reclaimed.
+//! Decides when the limit shares of a fenced member may be reclaimed.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -8,10 +8,10 @@
 use crate::ids::IncarnationId;
 use crate::members::{Member, MemberState};
 
-/// Allowance for clock drift between nodes.
+/// Margin for clock drift between nodes during a lease.
 const DRIFT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Members that are fenced or removed, with the time when this node noticed it.
+/// Fenced or removed members, with the time at which this node first saw them as such.
 #[derive(Debug, Default)]
 pub(super) struct LostMembers {
     since: RefCell<HashMap<IncarnationId, Duration>>,
@@ -19,7 +19,8 @@
 }
 
 impl LostMembers {
-    /// Records the time at which members became fenced, and reclaimers fenced or removed.
+    /// Records `now` for members newly seen as fenced and for reclaimers newly seen as fenced or
+    /// removed.
     pub fn observe(&self, members: &[Member], now: Duration) {
         let mut since = self.since.borrow_mut();
         let reclaimers = members.iter().filter_map(|member| member.reclaimer.as_ref());
@@ -58,7 +59,7 @@
         self.reclaimed.borrow_mut().extend(members);
     }
 
-    /// Returns fenced members that have been lost for at least `age`.
+    /// Returns the members that this node has seen as fenced for at least `age`.
     pub fn fenced_for(
         &self,
         age: Duration,
@@ -73,11 +74,12 @@
 
     /// Returns whether `own_id` must reclaim the shares of a fenced member now.
     ///
-    /// A holder spends tokens only for a limited time after it read from the table that it is not
-    /// fenced, or after its reclaimer promised not to reclaim its shares. As long as the reclaimer
-    /// is live, only the reclaimer reclaims them, after its last promise has expired. If the
-    /// reclaimer is lost too, the live member with the lowest id does, after both have been lost
-    /// for longer than a promise lasts.
+    /// A member spends its shares only during its lease, which it extends by reading from the table
+    /// that it is not fenced and by heartbeat replies from its reclaimer. Its shares may be
+    /// reclaimed after it has been fenced for longer than a lease. As long as the reclaimer is
+    /// live, only the reclaimer may do so, after the last lease that it granted has expired. If
+    /// there is no reclaimer, or if the reclaimer has been fenced or removed for longer than a
+    /// lease too, the live member with the lowest id reclaims the shares.
     fn is_reclaimable(
         &self,
         own_id: &str,
--- a/crates/coordination/src/limits/shares.rs
+++ b/crates/coordination/src/limits/shares.rs
@@ -8,11 +8,12 @@
 use crate::ids::IncarnationId;
 use crate::members::{Member, MemberState};
 
-/// Number of parts that make up a whole limit.
+/// Number of parts that a limit is divided into.
 pub const PARTS_PER_LIMIT: u32 = 1024;
-/// Minimum burst tokens per holder; a smaller burst is split over fewer holders.
+/// Burst tokens per holder before the number of holders is rounded up to a power of two; a smaller
+/// burst has fewer holders.
 const BURST_PER_HOLDER: u32 = 16;
-/// Maximum number of holders of one limit.
+/// Maximum number of holders of one limit; a request may ask all of them for a token.
 const HOLDERS_MAX: u32 = 4;
 
 /// Share of a limit that one node may spend.
@@ -20,7 +21,7 @@
 pub struct Share {
     /// Incarnation that may spend the share.
     pub holder: IncarnationId,
-    /// Size of the share in parts; a whole limit has [`PARTS_PER_LIMIT`].
+    /// Size of the share in parts; the limit has [`PARTS_PER_LIMIT`].
     pub parts: u32,
     /// Whether the share comes from the initial split; only such a share starts full.
     pub original: bool,
@@ -34,7 +35,7 @@
 }
 
 impl LimitRow {
-    /// Splits a whole limit evenly over `holders`.
+    /// Divides a limit evenly among `holders`; the first also gets the remainder.
     #[must_use]
     pub fn split(holders: &[IncarnationId]) -> Self {
         let count = u32::try_from(holders.len()).unwrap_or(u32::MAX).max(1);
@@ -59,7 +60,8 @@
         self.shares.iter().map(|share| share.parts).sum()
     }
 
-    /// Returns the recipient of the share of `holder` if only the first `count` shares are kept.
+    /// Returns the recipient of the share of `holder` when only the first `count` shares are kept,
+    /// or `None` if that share is kept or does not exist.
     #[must_use]
     pub fn surplus_recipient(&self, holder: &str, count: usize) -> Option<&IncarnationId> {
         let position = self.shares.iter().position(|share| share.holder == holder)?;
@@ -89,13 +91,14 @@
     }
 }
 
-/// Returns the number of nodes that share a limit.
+/// Returns the number of holders among which a limit is divided, a power of two.
 #[must_use]
 pub fn holder_count(limit: &Limit) -> usize {
     (limit.burst / BURST_PER_HOLDER).clamp(1, HOLDERS_MAX).next_power_of_two() as usize
 }
 
-/// Returns the live members by preference as holders of a team's limit, best first.
+/// Returns the live members in order of preference as holders of a team's limit, by rendezvous
+/// hashing.
 #[must_use]
 pub fn preferred_holders(members: &[Member], team: &str) -> Vec<IncarnationId> {
     let live = members.iter().filter(|member| member.state == MemberState::Live);
--- a/crates/coordination/src/limits/usage.rs
+++ b/crates/coordination/src/limits/usage.rs
@@ -2,16 +2,17 @@
 //!
 //! Every node simulates the team's whole token bucket. It deducts its own admissions immediately
 //! and those of other nodes when they report, and extrapolates the latter at their last known rate
-//! between reports. If a report shows that more was spent than assumed, the bucket goes negative
-//! and nothing is admitted until the debt is repaid. The limit is thus exceeded in any time window
-//! by at most what other nodes admit between two reports. Nodes that have stopped reporting may be
-//! partitioned and still admitting requests, so an equal share of the limit stays reserved for
-//! each of them.
+//! between reports. If a report shows that more requests were admitted than estimated, the bucket
+//! may go negative, and requests wait or are refused until the debt is repaid. The limit is thus
+//! exceeded in any time window by at most what other nodes admit between two reports. A node that
+//! no longer reports may be partitioned and still admit requests, so an equal share of the limit
+//! stays reserved for it until it is removed after [`FORGET_AFTER`].
 //!
 //! Near the limit, requests of started programs take precedence over new programs, because
 //! finishing a few programs is worth more than starting many. The first turn of a program also
-//! takes the average number of requests of a program from a second bucket. New programs are
-//! refused by that bucket once the first one runs low.
+//! takes the average number of requests of a program from a second bucket. When the team's bucket
+//! runs low, a new program is refused if the second bucket does not hold that many tokens or if the
+//! team's bucket is down to the reserve for started programs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,7 +23,7 @@
 
 /// Hash of a team's name, as in reports.
 pub type TeamHash = u32;
-/// Address under which other nodes reach a node.
+/// Address at which other nodes reach a node; identifies it.
 pub type MemberId = String;
 /// Admissions of one process since its start, by team.
 pub type AdmittedCounts = HashMap<TeamHash, Admitted>;
@@ -36,16 +37,16 @@
     pub programs: u64,
     /// Tokens left in the team's bucket; a starting node initializes its own bucket from it.
     pub tokens_left: i64,
-    /// Tokens left in the bucket for new programs; used in the same way.
+    /// Tokens left in the bucket for new programs; also initializes that of a starting node.
     pub program_tokens_left: i64,
 }
 
-/// Position of a request in its program.
+/// Class of a request, which decides how long it may wait and from which buckets it takes tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestClass {
     /// The first turn of a program.
     NewProgram,
-    /// Any other request.
+    /// Any other request, also one outside a program.
     Other {
         /// Time left until the deadline of the request.
         time_left: Duration,
@@ -53,7 +54,7 @@
 }
 
 impl RequestClass {
-    /// Returns the longest wait for a token, which is zero for a new program.
+    /// Returns the longest wait for a token.
     fn wait_max(self) -> Duration {
         match self {
             Self::NewProgram => Duration::ZERO,
@@ -70,7 +71,7 @@
 const MISSED_REPORTS_MAX: u32 = 7;
 /// Time without a report after which a node is removed from the members.
 pub const FORGET_AFTER: Duration = Duration::from_secs(30);
-/// Longest wait for a token; a caller would typically retry after about this time.
+/// Longest wait for a token; a caller that is refused would typically retry after about this time.
 const WAIT_MAX: Duration = Duration::from_millis(750);
 /// A request may wait for a token for its remaining time divided by this.
 const WAIT_DIVISOR: u32 = 3;
@@ -80,16 +81,17 @@
 const REQUESTS_PER_PROGRAM_DEFAULT: f64 = 12.0;
 /// Number of started programs from which the measured average is used.
 const PROGRAMS_SEEN_MIN: u64 = 8;
-/// Time for which the average is cached, because computing it visits all members and teams.
+/// Interval between updates of the average, whose computation visits all members and teams.
 const ESTIMATE_INTERVAL: Duration = Duration::from_millis(250);
-/// Fraction of the burst below which new programs also need tokens of the second bucket.
+/// Fraction of the burst below which new programs may be refused in favor of started ones.
 const PROGRAM_BUCKET_THRESHOLD: f64 = 0.85;
 /// Fraction of the burst that is reserved for started programs.
 const STARTED_PROGRAMS_RESERVE: f64 = 0.4;
-/// Fraction of the burst that a bucket holds until another node reports. A full bucket could exceed
-/// the limit, because spending before a restart of all nodes is unknown.
+/// Initial fraction of the burst in a bucket that is not initialized from a report. A full bucket
+/// could exceed the limit, because spending before a restart of all nodes is unknown.
 const INITIAL_FILL: f64 = 0.5;
-/// Approximate duration of a program, over which its requests are spread.
+/// Approximate duration of a program. The second bucket also holds what accrues in this time,
+/// because a program spreads its requests over it.
 const PROGRAM_DURATION: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
@@ -102,7 +104,7 @@
 
 #[derive(Debug, Default)]
 struct TeamBucket {
-    /// Tokens left; negative until debt is repaid.
+    /// Tokens left; negative while the team has spent more than has accrued.
     tokens: f64,
     /// Requests that new programs may still reserve.
     program_tokens: f64,
@@ -117,7 +119,7 @@
     teams: HashMap<TeamHash, TeamBucket>,
     /// Whether the buckets were initialized from the report of another node.
     is_seeded: bool,
-    /// Cached average number of requests per program, and the time of the estimate.
+    /// Estimated average number of requests per program, and the time of the estimate.
     cached_estimate: Option<(f64, Duration)>,
 }
 
@@ -145,8 +147,8 @@
 impl UsageLimiter {
     /// Takes a token for one request of `team` and returns the delay before it may be sent.
     ///
-    /// The delay is zero unless the request continues a program. Such a request may wait for a
-    /// fraction of its remaining time until its token accrues.
+    /// A new program is never delayed. Any other request may wait for its token for a fraction of
+    /// its remaining time, up to `WAIT_MAX`.
     ///
     /// # Errors
     ///
@@ -186,7 +188,8 @@
         Ok(wait)
     }
 
-    /// Refunds the token of a request that was admitted but never sent.
+    /// Refunds the token of a request that was admitted but never sent; a new program's tokens from
+    /// the second bucket are not refunded.
     pub fn refund(&mut self, team: TeamHash) {
         if let Some(bucket) = self.teams.get_mut(&team) {
             bucket.tokens += 1.0;
@@ -236,7 +239,8 @@
             known.admitted.clear();
         }
         let requests_per_program = self.requests_per_program(now);
-        // Delayed reports arrive together, so a shorter interval would overestimate the rate.
+        // Delayed reports may arrive together; without a minimum interval, the rate would be
+        // overestimated.
         let elapsed_s =
             now.saturating_sub(known.last_report_at).max(REPORT_INTERVAL_MIN).as_secs_f64();
         for (team, count) in &admitted {
@@ -249,8 +253,10 @@
                     bucket.tokens -= delta;
                     bucket.program_tokens -= started * requests_per_program;
                 }
+                // The first counts of a member include requests from before it was known.
                 Some(_) => {}
-                // This node has not served the team yet; usage by others is deducted from now on.
+                // This node has not served the team yet; the reported bucket already reflects
+                // earlier usage.
                 None => drop(self.teams.insert(*team, TeamBucket::from_report(count, now))),
             }
             let rate = known.rates_per_s.entry(*team).or_default();
@@ -262,7 +268,7 @@
         self.members.insert(member.to_owned(), known);
     }
 
-    /// Records a node that is listed but has not reported yet.
+    /// Adds a node from the membership table that has not reported yet.
     pub fn note_listed(&mut self, member: &str) {
         self.members.entry(member.to_owned()).or_insert_with(|| Member {
             incarnation: 0,
@@ -277,7 +283,8 @@
         self.members.remove(member);
     }
 
-    /// Removes and returns nodes that have not reported for [`FORGET_AFTER`].
+    /// Removes and returns nodes that have not reported for [`FORGET_AFTER`]. A node that has never
+    /// reported is treated as if it had reported at time zero of the clock.
     pub fn forget_inactive(&mut self, now: Duration) -> Vec<MemberId> {
         let silent: Vec<MemberId> = self
             .members
@@ -302,7 +309,7 @@
         share
     }
 
-    /// Returns the other nodes and whether each has reported within the silence timeout.
+    /// Returns the other nodes and whether each has reported within the report timeout.
     pub fn members(&self, now: Duration) -> impl Iterator<Item = (&MemberId, bool)> {
         let report_timeout = report_timeout(self.members.len());
         self.members.iter().map(move |(id, member)| (id, member.is_reporting(now, report_timeout)))
@@ -356,7 +363,8 @@
 }
 
 impl TeamBucket {
-    /// Returns the bucket of a new team; it accrues from time zero of the clock.
+    /// Returns the bucket of a team that no node has reported; it accrues from time zero of the
+    /// clock.
     fn initial(limits: BucketLimits) -> Self {
         let tokens = limits.burst * INITIAL_FILL;
         Self { tokens, program_tokens: tokens, ..Self::default() }
@@ -384,8 +392,8 @@
             burst + limits.rate_per_s * reachable_share * PROGRAM_DURATION.as_secs_f64();
         self.tokens = (self.tokens + accrued).min(burst.max(1.0));
         self.program_tokens = (self.program_tokens + accrued).min(program_burst);
-        // Debt beyond one program duration would delay new programs for longer than the overload
-        // lasts.
+        // The debt is bounded, because a larger one would delay new programs for longer than the
+        // overload lasts.
         self.program_tokens = self.program_tokens.max(-program_burst);
         self.updated_at = now;
     }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,9 +1,11 @@
 //! Choice of a backend server for a request.
 //!
 //! Every node ranks the servers of a service by rendezvous hashing, so that equal keys map to the
-//! same server on all nodes without coordination. Each candidate has a cost: its load, a penalty
-//! for recent failures, and for servers other than the first in rank the cost of prefilling the
-//! prompt again. The cheapest candidate is chosen.
+//! same server on all nodes without coordination. The candidates are the healthy servers highest in
+//! rank (two, or all under some policies) and the servers that failed recently. Each has a cost:
+//! its load, a penalty while it is avoided after failures and, with affinity, the cost of
+//! prefilling the prompt again on a server other than the first in rank. The cheapest candidate is
+//! chosen.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,14 +16,15 @@
 use crate::limits::usage::MemberId;
 use crate::servers::ServerEntry;
 
-/// Criterion for choosing among healthy backend servers.
+/// Policy for choosing among backend servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementPolicy {
-    /// Sends equal keys to the same server, or to the next in rank while that one is loaded.
+    /// Sends equal keys to the same server, or to the next in rank while the first is busier by
+    /// more than the cost of prefilling the prompt again.
     Affinity,
-    /// Like [`Self::Affinity`] with all servers as alternatives; a baseline for comparison.
+    /// Like [`Self::Affinity`], but compares all servers; a baseline for comparison.
     AffinityAllServers,
-    /// Chooses the less loaded of two servers selected by the key. Choosing the least loaded of all
+    /// Chooses the less loaded of the two servers highest in rank. Choosing the least loaded of all
     /// would cause herding: nodes that see the same stale loads would all pick the same server.
     TwoChoices,
     /// Chooses the least loaded server; a baseline for comparison.
@@ -31,38 +34,38 @@
 /// Requirements of a request on its backend server.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
-    /// Criterion for choosing among healthy servers.
+    /// Policy for choosing among servers.
     pub policy: PlacementPolicy,
     /// Placement key; requests with equal keys share parts of their prompts.
     pub key: &'a str,
-    /// Whether the request may run again after a failure and so may probe a server that failed
-    /// recently.
+    /// Whether the request may run again after a failure, so that it may be sent to a server whose
+    /// last request failed.
     pub may_repeat: bool,
     /// Servers that must not be chosen.
     pub excluded: &'a [BackendId],
 }
 
-/// Number of other nodes that must avoid a server before this node avoids it too. A single node may
-/// only have lost its own network path to the server.
+/// Number of other nodes that must avoid a server before this node avoids it too. Failures at a
+/// single node may be due to its own network path to the server.
 const AVOID_QUORUM: u32 = 2;
-/// Number of servers whose costs are compared. With more, all sessions that leave loaded servers
-/// would move to the one that was least loaded in the last reports, and have their prompts
-/// prefilled again there.
+/// Number of healthy servers whose costs are compared. With more, all sessions that leave busy
+/// servers would move to the one that was least loaded in the last reports, and their prompts would
+/// be prefilled again there.
 const COMPARED_SERVERS: usize = 2;
 
 /// Cost of prefilling the prompt on a server other than the first in rank, in fractions of a
 /// server's slots.
 const PREFILL_COST: f64 = 0.4;
-/// Additional cost per rank, which makes moved sessions with equal keys prefer the same server.
+/// Additional cost per rank, so that sessions with equal keys also move to the same server.
 const RANK_COST: f64 = 0.02;
-/// Rank beyond which the cost no longer increases.
+/// Rank from which the cost stays constant.
 const COSTED_RANK_MAX: usize = 8;
 /// Cost of a server that is being avoided after failures; exceeds any load.
 const FAILED_COST: f64 = 100.0;
 /// Time for which a server is avoided after its first failure; doubles with each consecutive one.
 const AVOID_MIN: Duration = Duration::from_millis(500);
-/// Maximum time for which a server is avoided. If the failure persists, each expiry costs one
-/// failed request.
+/// Maximum time for which a server is avoided. If the failure persists, each expiry costs at least
+/// one failed request.
 const AVOID_MAX: Duration = Duration::from_secs(4);
 
 #[derive(Debug, Default)]
@@ -77,11 +80,11 @@
 #[derive(Debug, Default)]
 pub struct Placement {
     views: HashMap<BackendId, ServerView>,
-    /// Requests in flight from each other node, by its last report.
+    /// Requests in flight at each server, as last reported by each other node.
     peer_loads: HashMap<MemberId, Vec<(ServerHash, u32)>>,
     /// Sum of `peer_loads` by server, updated with each report.
     peer_in_flight: HashMap<ServerHash, u32>,
-    /// Servers that each other node avoids, by its last report.
+    /// Servers avoided by each other node, as last reported.
     peer_avoided: HashMap<MemberId, Vec<ServerHash>>,
     /// Number of other nodes that avoid a server, updated with each report.
     avoiding_peers: HashMap<ServerHash, u32>,
@@ -91,7 +94,7 @@
 pub type ServerHash = u32;
 
 impl Placement {
-    /// Chooses a server for a request.
+    /// Chooses a server for a request; returns `None` if all are excluded.
     pub fn choose<'a>(
         &self,
         request: PlacementRequest<'_>,
@@ -117,7 +120,8 @@
             !self.is_avoided(server, now) && (may_repeat || !self.failed_last(server))
         };
         let healthy = candidates.iter().filter(|(_, server)| is_healthy(server)).take(compared_max);
-        // Servers that failed recently come last; while avoided, they also cost more than any load.
+        // Servers that failed recently come last and so lose ties; while avoided, they also cost
+        // more than any load.
         healthy
             .chain(candidates.iter().filter(|(_, server)| !is_healthy(server)))
             .map(|(rank, server)| (self.cost(policy, *rank, server, now), *server))
@@ -257,7 +261,7 @@
     }
 }
 
-/// Order of ranked servers: by weight, then by identifier.
+/// Compares ranked servers by weight, then by identifier.
 trait CompareWeight {
     fn cmp_weight(&self, other: &Self) -> std::cmp::Ordering;
 }
--- a/crates/coordination/src/refusal.rs
+++ b/crates/coordination/src/refusal.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
-    /// The request was never sent to a backend server.
+    /// The request was not executed.
     NotRun,
     /// The request may have been executed.
     Unknown,
@@ -37,7 +37,7 @@
     TurnUnknown,
     /// The program has ended.
     ProgramClosed,
-    /// Another call already holds the sequence.
+    /// A different call was already accepted with this sequence number.
     SequenceTaken,
     /// The preceding call of the program did not arrive in time.
     SequenceAhead,
@@ -53,13 +53,13 @@
     NoBackend,
     /// The backend server failed before an answer was complete.
     BackendFailed,
-    /// The platform cannot record the call.
+    /// The platform or its store cannot be read or written.
     PlatformUnavailable,
     /// This node does not own the program's shard.
     NotOwner,
     /// The program's owner cannot be reached.
     OwnerUnreachable,
-    /// The outcome of an earlier attempt is unknown and it must not be repeated.
+    /// The outcome of an earlier attempt is unknown, and the call must not be repeated.
     OutcomeUnknown,
     /// A deadline or timeout of the request passed.
     DeadlineExceeded,
@@ -71,7 +71,7 @@
     ConfigStale,
 }
 
-/// Row of the refusal table: label, HTTP status and default retry delay in milliseconds.
+/// Row of the refusal table: kind, label, HTTP status and default retry delay in milliseconds.
 struct RefusalRow(RefusalKind, &'static str, u16, Option<u64>);
 
 const REFUSALS: &[RefusalRow] = &[
@@ -119,13 +119,13 @@
         self.row().2
     }
 
-    /// Returns every kind, in table order.
+    /// Returns all kinds.
     pub fn all() -> impl Iterator<Item = Self> {
         REFUSALS.iter().map(|row| row.0)
     }
 }
 
-/// Final answer to a request that produced no result.
+/// Answer to a request that was refused or failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Snafu)]
 #[snafu(display("{message}"))]
 pub struct Refusal {
@@ -135,12 +135,12 @@
     pub message: String,
     /// Whether the request took effect.
     pub run: RunState,
-    /// Delay after which a retry may succeed.
+    /// Delay after which a retry may succeed; `None` if no retry is suggested.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// Creates a refusal of a request that never reached a backend server.
+    /// Creates a refusal of a request that was not executed.
     #[must_use]
     pub fn not_run(kind: RefusalKind, message: impl Into<String>) -> Self {
         Self { kind, message: message.into(), run: RunState::NotRun, retry_after_ms: kind.row().3 }
--- a/crates/coordination/src/request.rs
+++ b/crates/coordination/src/request.rs
@@ -1,11 +1,11 @@
-//! Scheduling information in a caller's request.
+//! Scheduling headers of a caller's request.
 
 use std::time::Duration;
 
-/// Identifier of one attempt by a caller.
+/// Identifier that a caller gives each attempt of a request; a stored turn is named by it.
 pub type RequestId = String;
 
-/// A part of a prompt that requests may share.
+/// Part of a prompt; requests with equal parts can share cached tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// Identifier; equal parts have equal identifiers.
@@ -21,7 +21,7 @@
     pub id: String,
     /// Identifier of the session, a sequence of turns within the program.
     pub session: String,
-    /// Time left until the whole program should be finished.
+    /// Time left until the deadline of the whole program.
     pub time_left: Option<Duration>,
     /// Maximum number of tokens that all turns of the program together may generate.
     pub budget_tokens: Option<u64>,
@@ -32,7 +32,7 @@
 pub struct RequestContext {
     /// Identifier of the attempt.
     pub id: RequestId,
-    /// Time that the caller waits, counted from the arrival of the request.
+    /// Time limit set by the caller, counted from the arrival of the request.
     pub deadline: Option<Duration>,
     /// Object that the request refers to, used as an affinity key.
     pub affinity: Option<String>,
--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -7,15 +7,15 @@
 
 use crate::ids::{ConfigVersion, RouteId, TeamId};
 
-/// Name of a service: a group of equal backend servers.
+/// Name of a service: a group of interchangeable backend servers.
 pub type ServiceId = String;
 
-/// Policy for repeated runs of a request.
+/// Whether a request may run more than once, and whether its answer is an event stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatPolicy {
     /// May run any number of times.
     Idempotent,
-    /// May run at most once for each attempt of a caller.
+    /// May run at most once per request id, which names one attempt of a caller.
     AtMostOnce,
     /// An event stream that may run at most once.
     Stream,
@@ -55,7 +55,7 @@
     pub host: String,
     /// Prefix of the path; begins and ends with a slash.
     pub path_prefix: String,
-    /// Policy for repeated runs of a request.
+    /// Whether a request may run more than once, and whether its answer is an event stream.
     pub repeat: RepeatPolicy,
     /// Maximum time for which a caller waits.
     pub timeout: Duration,
@@ -67,13 +67,14 @@
     pub targets: Vec<Target>,
     /// Maximum number of backend servers that may run one request.
     pub attempts_max: u32,
-    /// Whether turns are stored, so that a request carries only the new input of its turn.
+    /// Whether turns are stored, so that a request needs to carry only its new input.
     pub keeps_turns: bool,
     /// Time for which a turn is stored.
     pub turn_retention: Duration,
     /// Whether requests need no key.
     pub is_public: bool,
-    /// Whether a backend server is faster for an object that it handled recently.
+    /// Whether a backend server is faster for an object that it handled recently; placement does
+    /// not use this.
     pub is_sticky: bool,
 }
 
@@ -82,7 +83,7 @@
     #[must_use]
     pub fn service_for(&self, id: &str) -> Option<&ServiceId> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
-        #[expect(clippy::cast_precision_loss, reason = "a uniform fraction needs no more bits")]
+        #[expect(clippy::cast_precision_loss, reason = "53 bits fit exactly")]
         let mut point = total * (xxh3_64(id.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
         for target in &self.targets {
             point -= target.weight;
@@ -105,14 +106,14 @@
     pub tokens_per_event: u64,
 }
 
-/// A group of equal backend servers.
+/// A group of interchangeable backend servers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceSpec {
     /// Name.
     pub name: ServiceId,
     /// Connections that one backend server accepts from all nodes together.
     pub connections_max: u32,
-    /// Set for model engines.
+    /// Properties of the model engines; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
@@ -127,7 +128,7 @@
     pub priority: Option<u8>,
     /// Requests per second over all nodes; 0 means no limit.
     pub rate_per_s: f64,
-    /// Number of requests that may exceed the rate at once.
+    /// Maximum number of requests in a burst.
     pub burst: f64,
 }
 
--- a/crates/coordination/src/servers.rs
+++ b/crates/coordination/src/servers.rs
@@ -1,4 +1,4 @@
-//! A node's view of the backend servers, based on the platform's list.
+//! Backend servers known to a node, from the platform's list.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -7,7 +7,8 @@
 use crate::ids::{BackendId, ZoneId};
 use crate::routing::ServiceId;
 
-/// Grace period after a store failure in which entries that expired during it may return.
+/// Time after a store failure for which missing entries are kept, because the store may have
+/// dropped them during the failure.
 pub const MISSING_GRACE: Duration = Duration::from_secs(2);
 
 /// Whether a backend server accepts new requests.
@@ -52,7 +53,7 @@
 #[derive(Debug)]
 struct KnownServer {
     entry: ServerEntry,
-    /// Time since which the entry is missing, if the store may have dropped it wrongly.
+    /// Time at which the entry was first missing, if it is kept for the grace period.
     missing_since: Option<Duration>,
 }
 
@@ -70,7 +71,7 @@
         self.store_failed_at = Some(now);
     }
 
-    /// Records an entry.
+    /// Adds or replaces an entry; returns the change, if any.
     pub fn insert(&mut self, entry: ServerEntry) -> Option<ServerChange> {
         let id = entry.id.clone();
         let previous = self.known.insert(id.clone(), KnownServer { entry, missing_since: None });
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Records that an entry is missing or is no longer that of a backend server.
+    /// Records that an entry is missing or malformed; returns the change, if any.
     ///
     /// After a store failure, a ready entry is kept until [`MISSING_GRACE`] has passed, because the
     /// store drops entries that could not be renewed during an outage.
@@ -114,7 +115,7 @@
         changes
     }
 
-    /// Removes lapsed entries that did not return within the grace period.
+    /// Removes entries that are still missing after the grace period.
     pub fn remove_missing(&mut self, now: Duration) -> Vec<ServerChange> {
         let failed_at = self.store_failed_at.unwrap_or_default();
         let expired: Vec<BackendId> = self
--- a/crates/coordination/src/turns.rs
+++ b/crates/coordination/src/turns.rs
@@ -19,7 +19,8 @@
 
 /// Table of the stored turns.
 pub const TURNS_TABLE: &str = "turns";
-/// Partitions of the table; each supports 200 writes per second, and the whole store 800.
+/// Number of partitions of the table. The store supports 200 writes per second in each partition
+/// and 800 in total.
 const TURN_PARTS: u64 = 64;
 
 /// Bytes stored as text if they are valid UTF-8, and in Base64 otherwise.
@@ -51,7 +52,7 @@
 pub struct TurnRecord {
     /// Team of the turn.
     pub team: TeamId,
-    /// Turns before this one, oldest first.
+    /// Request ids of the earlier turns, oldest first.
     pub chain: Vec<RequestId>,
     /// New input of the turn.
     pub input: TextBytes,
@@ -66,10 +67,10 @@
     }
 }
 
-/// Memory overhead of a cached record beyond its contents.
+/// Estimated memory of a cached record in addition to its contents.
 const RECORD_OVERHEAD_BYTES: usize = 256;
 
-/// Reason why a turn cannot be continued.
+/// Failure to read or store a turn.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum TurnError {
     /// The turn does not exist or belongs to another team.
@@ -78,7 +79,7 @@
         /// Requested turn.
         turn: RequestId,
     },
-    /// The store failed, so it is unknown whether the turn exists.
+    /// The store failed or contains an unusable row, so it is unknown whether the turn exists.
     #[snafu(display("the turn cannot be read: {source}; retry later"))]
     Store {
         /// Cause.
@@ -151,11 +152,11 @@
         Ok(chain)
     }
 
-    /// Stores a turn; it is durable only if this succeeds.
+    /// Caches and stores a turn; it is durable only if this succeeds.
     ///
     /// # Errors
     ///
-    /// Fails when the store did not accept the record.
+    /// Fails when the store did not accept the record or when another turn has the same request id.
     pub async fn store(&self, turn: &str, record: Rc<TurnRecord>) -> Result<(), TurnError> {
         self.insert_cached(turn, Rc::clone(&record));
         let value = serde_json::to_vec(&*record).map_err(|error| malformed(&error))?;
