--- a/crates/coordination/src/limits/escrow.rs
+++ b/crates/coordination/src/limits/escrow.rs
@@ -1,5 +1,5 @@
 //! Rate limiter that splits each team's limit into shares. A node spends only the shares that it
-//! holds, so the total over all nodes stays within the limit; [`moves`] transfers shares to other
+//! holds, so the total over all nodes stays within the limit; `moves` transfers shares to other
 //! nodes.
 
 mod moves;
