--- a/crates/coordination/src/config/files.rs
+++ b/crates/coordination/src/config/files.rs
@@ -10,9 +10,10 @@
 use super::check::{Position, Problem, check};
 use super::objects::{Backend, Budget, Key, Limit, Model, ObjectSet, Route, Service, Team};
 
-/// Function that parses one object of a kind and returns it in canonical form.
+/// Parses one object of a kind and returns it as JSON, with defaults filled in.
 type ParseObject = fn(toml::Value) -> Result<Value, String>;
 
+/// Kinds of objects, by table name, with their parsers.
 const KINDS: &[(&str, ParseObject)] = &[
     ("team", parse_object::<Team>),
     ("key", parse_object::<Key>),
@@ -53,22 +54,22 @@
         };
         let values: toml::Table = toml::from_str(text).unwrap_or_default();
         for (kind, names) in table.get_ref() {
-            let line = position(file, text, kind.span().start);
+            let kind_position = position(file, text, kind.span().start);
             let kind = kind.get_ref().as_ref();
             let parse = KINDS.iter().find(|(known, _)| *known == kind).map(|(_, parse)| *parse);
             let (Some(parse), DeValue::Table(names)) = (parse, names.get_ref()) else {
                 let known: Vec<&str> = KINDS.iter().map(|(known, _)| *known).collect();
                 let message = format!("write [KIND.NAME] with KIND one of {}", known.join(", "));
-                self.report(Some(line), kind, &message);
+                self.report(Some(kind_position), kind, &message);
                 continue;
             };
             for (name, fields) in names {
-                let position = position(file, text, name.span().start);
+                let name_position = position(file, text, name.span().start);
                 let name = name.get_ref().as_ref();
                 let object = format!("{kind}.{name}");
                 self.record_field_positions(&object, fields.get_ref(), file, text);
                 let value = values.get(kind).and_then(|names| names.get(name)).cloned();
-                self.add_object(kind, name, value, parse, position);
+                self.add_object(kind, name, value, parse, name_position);
             }
         }
     }
@@ -77,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// Returns all syntax, reference, cycle and range faults, with file and line where known.
+    /// Returns all syntax, reference, cycle and range problems, with file and line where known.
     pub fn finish(mut self) -> Result<ObjectSet, Vec<Problem>> {
         let values = serde_json::to_value(&self.values).unwrap_or_default();
         match serde_json::from_value::<ObjectSet>(values) {
--- a/crates/coordination/src/dispatch.rs
+++ b/crates/coordination/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Selects backend servers for calls by this node's number of outstanding calls at each.
+//! Selects, for each call, the backend server with the fewest calls in flight from this node.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -7,10 +7,10 @@
 use crate::ids::BackendId;
 use crate::refusal::{Refusal, RefusalKind};
 
-/// Maximum number of retries that the budget can hold.
-const RETRY_TOKENS_MAX: f64 = 10.0;
-/// Share of a retry that each first attempt adds to the budget.
-const RETRY_TOKENS_PER_CALL: f64 = 0.1;
+/// Capacity of the retry budget: the number of retries allowed in a burst.
+const RETRY_BURST: f64 = 10.0;
+/// Retries that each first attempt adds to the retry budget.
+const RETRIES_PER_CALL: f64 = 0.1;
 
 /// A backend server chosen for one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -21,35 +21,35 @@
     pub address: String,
 }
 
-/// Counts outstanding calls and selects the least loaded backend server.
+/// Counts the calls in flight at each backend server and selects the least loaded one.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
-    outstanding: RefCell<HashMap<BackendId, u32>>,
+    in_flight: RefCell<HashMap<BackendId, u32>>,
     leaving: RefCell<HashSet<String>>,
     retry_budget: RefCell<RetryBudget>,
 }
 
-/// Token bucket that limits retries to a share of first attempts.
+/// Token bucket that limits retries to a fraction of the first attempts.
 #[derive(Debug)]
 struct RetryBudget {
-    tokens: f64,
+    retries: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { tokens: RETRY_TOKENS_MAX }
+        Self { retries: RETRY_BURST }
     }
 }
 
 impl RetryBudget {
     fn deposit(&mut self) {
-        self.tokens = (self.tokens + RETRY_TOKENS_PER_CALL).min(RETRY_TOKENS_MAX);
+        self.retries = (self.retries + RETRIES_PER_CALL).min(RETRY_BURST);
     }
 
     fn withdraw(&mut self) -> bool {
-        let allowed = self.tokens >= 1.0;
+        let allowed = self.retries >= 1.0;
         if allowed {
-            self.tokens -= 1.0;
+            self.retries -= 1.0;
         }
         allowed
     }
@@ -58,6 +58,9 @@
 impl Dispatcher {
     /// Selects a backend server for the model or plain service `served`, excluding `tried`.
     ///
+    /// The attempt is counted as in flight until [`Dispatcher::release`]. If `tried` is not empty,
+    /// the attempt is a retry and spends from the retry budget.
+    ///
     /// # Errors
     ///
     /// Refuses when no active backend server is left or the retry budget is exhausted.
@@ -76,8 +79,8 @@
             ));
         }
         let leaving = self.leaving.borrow();
-        let mut outstanding = self.outstanding.borrow_mut();
-        let load = |name: &BackendId| outstanding.get(name).copied().unwrap_or(0);
+        let mut in_flight = self.in_flight.borrow_mut();
+        let load = |name: &BackendId| in_flight.get(name).copied().unwrap_or(0);
         let chosen = config
             .active_backends(served)
             .filter(|(name, backend)| !tried.contains(name) && !leaving.contains(&backend.address))
@@ -89,18 +92,19 @@
                 format!("no backend server of {served:?} can take the call; repeat it later"),
             ));
         };
-        *outstanding.entry(name.clone()).or_default() += 1;
+        *in_flight.entry(name.clone()).or_default() += 1;
         Ok(Placement { backend: name.clone(), address: backend.address.clone() })
     }
 
-    /// Sets the addresses that the platform reports as leaving or gone.
+    /// Excludes the backend servers at these addresses, which the platform reports as leaving or
+    /// gone; replaces the previous addresses.
     pub fn set_leaving(&self, addresses: HashSet<String>) {
         *self.leaving.borrow_mut() = addresses;
     }
 
     /// Records the end of an attempt at `placement`.
     pub fn release(&self, placement: &Placement) {
-        if let Some(count) = self.outstanding.borrow_mut().get_mut(&placement.backend) {
+        if let Some(count) = self.in_flight.borrow_mut().get_mut(&placement.backend) {
             *count = count.saturating_sub(1);
         }
     }
--- a/crates/daemon/src/crash.rs
+++ b/crates/daemon/src/crash.rs
@@ -1,18 +1,18 @@
-//! Crash points: debug builds can abort or stop the process at a named step.
+//! Crash points, at which a debug build can abort or stop the process.
 //!
-//! `DANDELIONFRONT_CRASH_POINT=STEP:ACTION` with ACTION `abort` or `stop` acts at the first time
-//! the step is reached. Release builds carry none of this.
+//! `DANDELIONFRONT_CRASH_POINT=STEP:ACTION` executes ACTION, `abort` or `stop`, when the crash
+//! point named STEP is hit for the first time. Release builds contain no crash points.
 
-/// Step at which a process can be made to fail.
+/// Point in the execution of a non-repeatable call at which the process can abort or stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
-    /// A non-repeatable call reached its owner.
+pub enum CrashPoint {
+    /// The call has reached the owner of its program.
     Arrived,
-    /// Its start is recorded and nothing was sent to a backend server.
+    /// The start of the call is recorded; nothing was sent to a backend server yet.
     Started,
-    /// The backend server answered and nothing is recorded of it.
+    /// The backend server has answered; the answer is not recorded yet.
     Answered,
-    /// The answer is recorded and was not handed to the caller.
+    /// The answer is recorded; it was not sent to the caller yet.
     Finished,
 }
 
@@ -24,34 +24,34 @@
     use signal_hook::consts::SIGSTOP;
     use signal_hook::low_level::raise;
 
-    use super::Step;
+    use super::CrashPoint;
 
-    const VARIABLE: &str = "DANDELIONFRONT_CRASH_POINT";
-    const STEPS: &[(Step, &str)] = &[
-        (Step::Arrived, "arrived"),
-        (Step::Started, "started"),
-        (Step::Answered, "answered"),
-        (Step::Finished, "finished"),
+    const ENV_VARIABLE: &str = "DANDELIONFRONT_CRASH_POINT";
+    const POINT_NAMES: &[(CrashPoint, &str)] = &[
+        (CrashPoint::Arrived, "arrived"),
+        (CrashPoint::Started, "started"),
+        (CrashPoint::Answered, "answered"),
+        (CrashPoint::Finished, "finished"),
     ];
 
-    static WANTED: LazyLock<Option<(String, String)>> = LazyLock::new(|| {
-        let value = std::env::var(VARIABLE).ok()?;
-        value.split_once(':').map(|(step, action)| (step.to_owned(), action.to_owned()))
+    static CONFIGURED: LazyLock<Option<(String, String)>> = LazyLock::new(|| {
+        let value = std::env::var(ENV_VARIABLE).ok()?;
+        value.split_once(':').map(|(point, action)| (point.to_owned(), action.to_owned()))
     });
-    static REACHED: AtomicBool = AtomicBool::new(false);
+    static TRIGGERED: AtomicBool = AtomicBool::new(false);
 
-    pub fn reach(step: Step) {
-        let Some((wanted, action)) = WANTED.as_ref() else { return };
-        let name = STEPS.iter().find(|(known, _)| *known == step).map(|(_, name)| *name);
-        if name != Some(wanted) || REACHED.swap(true, Ordering::SeqCst) {
+    pub fn hit(point: CrashPoint) {
+        let Some((configured, action)) = CONFIGURED.as_ref() else { return };
+        let name = POINT_NAMES.iter().find(|(known, _)| *known == point).map(|(_, name)| *name);
+        if name != Some(configured) || TRIGGERED.swap(true, Ordering::SeqCst) {
             return;
         }
-        log::warn!("event=crash_point step={wanted} action={action}");
+        log::warn!("event=crash_point step={configured} action={action}");
         if action == "stop" {
-            // Sent to this thread: a signal to the process may stop another thread first, while
-            // this one goes on and leaves the step.
+            // Raised on this thread, because a signal to the process may stop another thread first
+            // while this thread continues beyond the crash point.
             if let Err(error) = raise(SIGSTOP) {
-                log::error!("event=crash_point_failed step={wanted} cause=\"{error}\"");
+                log::error!("event=crash_point_failed step={configured} cause=\"{error}\"");
             }
         } else {
             std::process::abort();
@@ -59,12 +59,12 @@
     }
 }
 
-/// Fails here if the process was started with this step as its crash point.
+/// Aborts or stops the process if `point` is the configured crash point.
 #[cfg(debug_assertions)]
-pub fn reach(step: Step) {
-    active::reach(step);
+pub fn hit(point: CrashPoint) {
+    active::hit(point);
 }
 
 /// Does nothing in release builds.
 #[cfg(not(debug_assertions))]
-pub fn reach(_step: Step) {}
+pub fn hit(_point: CrashPoint) {}
--- a/crates/daemon/src/front/connection/peers.rs
+++ b/crates/daemon/src/front/connection/peers.rs
@@ -1,8 +1,8 @@
 //! Datagrams between nodes.
 //!
-//! A report is small, replaces the previous one and is useless when late, so it is sent as a
-//! datagram; the next report makes up for a lost one. A request to release a claim has no response
-//! datagram: the receiver writes the release to the store, and the requesting node repeats the
+//! A report is small and useless when late, and the next one replaces it, so it is sent as a
+//! datagram and not resent when lost. A request to release a claim on a program's budget is not
+//! answered: the receiver writes the release to the store, and the requesting node repeats the
 //! request while it waits.
 
 use std::cell::RefCell;
@@ -22,18 +22,18 @@
 
 use crate::front::process::FrontNode;
 
-/// Largest datagram that is received.
+/// Size of the receive buffer; a longer datagram is truncated and logged as malformed.
 const DATAGRAM_MAX_BYTES: usize = 8 * 1024;
 /// Table in which nodes register their addresses.
 const NODES_TABLE: &str = "nodes";
 /// Time between two reads of the nodes table.
 ///
-/// Repeated reads let a node find others that started while it could not reach the store.
+/// Reads are repeated to find nodes that registered while this one could not reach the store.
 const MEMBERSHIP_INTERVAL: Duration = Duration::from_secs(15);
-/// Time after a read of the nodes table for the other nodes' reports to arrive.
+/// Wait after each read of the nodes table, in which the reports of the listed nodes arrive.
 ///
 /// The node becomes ready for callers only after the first such wait.
-const INITIAL_REPORTS_WAIT: Duration = Duration::from_millis(250);
+const REPORTS_WAIT: Duration = Duration::from_millis(250);
 /// Delay after a failed read or write of the nodes table.
 const MEMBERSHIP_RETRY_DELAY: Duration = Duration::from_millis(400);
 
@@ -54,7 +54,7 @@
 struct Report {
     /// Random identifier of the process; differs after a restart.
     incarnation: u64,
-    /// Requests and programs admitted since the start of the process, by team.
+    /// Admissions since the start of the process and tokens left, by team.
     admitted: Vec<(TeamHash, Admitted)>,
     /// Requests in flight, by hash of the backend server's identifier.
     in_flight: Vec<(u32, u32)>,
@@ -66,7 +66,7 @@
     has_store: bool,
 }
 
-/// The node's socket for messages to and from other nodes.
+/// The node's socket for messages to and from the other nodes.
 #[derive(Debug)]
 pub struct Peers {
     socket: UdpSocket,
@@ -91,7 +91,7 @@
     /// Returns the identifier of this node in claims.
     #[must_use]
     pub fn claimant(&self) -> ClaimantId {
-        claimant_of(self.incarnation)
+        claimant_id(self.incarnation)
     }
 
     /// Receives datagrams until the process ends.
@@ -142,11 +142,13 @@
         let now = node.clock.monotonic_now();
         let members: Vec<SocketAddr> = {
             let limiter = node.limiter.borrow();
-            for (member, _) in limiter.members(now).filter(|(_, is_heard)| !is_heard) {
+            // The load and the avoided servers of silent nodes are outdated.
+            for (member, _) in limiter.members(now).filter(|(_, is_reporting)| !is_reporting) {
                 node.placement.borrow_mut().forget_peer(member);
             }
-            let heard = limiter.members(now).filter(|(_, is_heard)| *is_heard).count();
-            node.metrics.members_heard.set(i64::try_from(heard).unwrap_or(i64::MAX));
+            let reporting_count =
+                limiter.members(now).filter(|(_, is_reporting)| *is_reporting).count();
+            node.metrics.members_heard.set(i64::try_from(reporting_count).unwrap_or(i64::MAX));
             limiter.members(now).filter_map(|(member, _)| member.parse().ok()).collect()
         };
         let report = Report {
@@ -155,7 +157,7 @@
             in_flight: node.placement.borrow().own_load(),
             avoided: node.placement.borrow().own_avoided(now),
             is_leaving,
-            has_store: !node.reach.is_unreachable() && node.table().version() > 0,
+            has_store: !node.store_reachability.is_unreachable() && node.table().version() > 0,
         };
         match postcard::to_allocvec(&Message::Report(report)) {
             Ok(bytes) => {
@@ -170,13 +172,14 @@
         members.len()
     }
 
-    /// Keeps this node registered and discovers other nodes until the process ends.
+    /// Keeps this node registered, discovers other nodes and removes the rows of silent ones, until
+    /// the process ends.
     pub async fn maintain_membership(&self, node: &FrontNode) {
         loop {
             match self.refresh_membership(node).await {
                 Ok(()) => {
-                    tokio::time::sleep(INITIAL_REPORTS_WAIT).await;
-                    node.note_members_known();
+                    tokio::time::sleep(REPORTS_WAIT).await;
+                    node.record_members_read();
                     tokio::time::sleep(MEMBERSHIP_INTERVAL).await;
                 }
                 Err(error) => {
@@ -192,7 +195,8 @@
         let (mut rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         if !rows.iter().any(|row| row.key == own) {
             self.write_row(node, &own, 0, Some(node.settings.zone.as_bytes())).await?;
-            // Of two nodes that start at the same time, at least the later writer finds the other.
+            // Of two nodes that register at the same time, at least the one that writes last finds
+            // the other by this second read.
             (rows, _) = node.store.read_part(NODES_TABLE, "").await?;
         }
         let now = node.clock.monotonic_now();
@@ -231,9 +235,10 @@
             }
         };
         let incarnations = self.incarnations.borrow();
-        let known = incarnations.iter().map(|(address, known)| (address, claimant_of(*known)));
+        let claimants =
+            incarnations.iter().map(|(address, incarnation)| (address, claimant_id(*incarnation)));
         let mut is_any_asked = false;
-        for (address, _) in known.filter(|(_, claimant)| holders.contains(claimant)) {
+        for (address, _) in claimants.filter(|(_, claimant)| holders.contains(claimant)) {
             match self.socket.try_send_to(&bytes, *address) {
                 Ok(_) => is_any_asked = true,
                 Err(error) => {
@@ -245,7 +250,8 @@
     }
 }
 
-fn claimant_of(incarnation: u64) -> ClaimantId {
+/// Formats an incarnation as the node's identifier in claims.
+fn claimant_id(incarnation: u64) -> ClaimantId {
     format!("{incarnation:016x}")
 }
 
@@ -255,7 +261,7 @@
     if report.is_leaving {
         log::info!("event=member_left member={member}");
         node.limiter.borrow_mut().forget(&member);
-        node.reach.update_relay(sender, false, Duration::ZERO);
+        node.store_reachability.update_relay(sender, false, Duration::ZERO);
         node.placement.borrow_mut().forget_peer(&member);
         return;
     }
@@ -265,7 +271,7 @@
         limiter.note_report(&member, report.incarnation, admitted, now);
         limiter.members(now).count()
     };
-    node.reach.update_relay(sender, report.has_store, report_timeout(members));
+    node.store_reachability.update_relay(sender, report.has_store, report_timeout(members));
     let mut placement = node.placement.borrow_mut();
     placement.set_peer_load(&member, report.in_flight);
     placement.set_peer_avoided(&member, report.avoided);
--- a/crates/daemon/src/front/connection/status.rs
+++ b/crates/daemon/src/front/connection/status.rs
@@ -11,9 +11,8 @@
 use super::listener;
 use crate::front::process::FrontNode;
 
-/// Path at which the metrics are served.
 const METRICS_PATH: &str = "/metrics";
-/// Largest request head.
+/// Maximum size of a request head.
 const HEAD_MAX_BYTES: usize = 8 * 1024;
 
 /// Serves readiness checks and metrics until the process ends.
@@ -27,13 +26,13 @@
         if payload != PayloadType::None {
             break;
         }
-        let (status, body) = answer(&node, request.path());
+        let (status, body) = response_for(&node, request.path());
         listener::send_response(&io, &codec, status, "text/plain", &body).await?;
     }
     io.shutdown().await
 }
 
-fn answer(node: &FrontNode, path: &str) -> (StatusCode, Vec<u8>) {
+fn response_for(node: &FrontNode, path: &str) -> (StatusCode, Vec<u8>) {
     match path {
         READY_PATH if node.is_ready() => (StatusCode::OK, Vec::new()),
         READY_PATH => (StatusCode::SERVICE_UNAVAILABLE, Vec::new()),
--- a/crates/daemon/src/front/request/admission.rs
+++ b/crates/daemon/src/front/request/admission.rs
@@ -12,12 +12,13 @@
 use dandelionfront_platform::headers;
 use http::{HeaderMap, HeaderValue, Method, header};
 
-use super::turn::{self, OpenTurn};
+use super::turn::{self, RunningTurn};
 use crate::front::connection::caller::CallerRequest;
 use crate::front::process::FrontNode;
 
-/// Deadline of requests that set none; the longest deadline that the documentation specifies.
-const DEADLINE_DEFAULT: Duration = Duration::from_secs(30);
+/// Time limit of requests without a deadline; the longest deadline that the platform's
+/// documentation specifies.
+const TIME_LIMIT_DEFAULT: Duration = Duration::from_secs(30);
 
 /// A request that was admitted and may be sent to a backend server.
 pub struct Admitted {
@@ -41,27 +42,30 @@
     pub deadline: Instant,
     /// Time at which the request head was read.
     pub arrived_at: Instant,
-    /// Set for turns with a token budget or a stored history.
-    pub turn: Option<OpenTurn>,
-    /// Placement key; requests with equal keys share prompts.
+    /// Set for turns with a token budget or on a route that stores turns.
+    pub turn: Option<RunningTurn>,
+    /// Placement key; requests with equal keys share prompts and prefer the same backend server.
     pub placement_key: String,
     /// Token taken from the team's limit.
     pub limit_reservation: LimitReservation,
 }
 
-/// A token taken from a team's limit; refunded on drop unless the request was sent.
+/// A token taken from a team's limit; refunded on drop unless a backend server may have run the
+/// request.
 #[derive(Default)]
 pub struct LimitReservation {
     refund_to: Option<(Rc<FrontNode>, TeamId)>,
 }
 
 impl LimitReservation {
+    /// Takes a token and waits until it may be used.
     async fn acquire(
         node: &Rc<FrontNode>,
         table: &RoutingTable,
         team: &AdmittedTeam,
         class: RequestClass,
     ) -> Result<Self, Refusal> {
+        // Never `None`, because the key was found in the same table.
         let Some(spec) = table.team_of_key(&team.key) else { return Ok(Self::default()) };
         let wait = node.acquire_limit_token(spec, class)?;
         node.metrics.limit_wait_seconds.observe(wait.as_secs_f64());
@@ -97,24 +101,27 @@
 }
 
 /// A request that was refused at admission.
-pub struct Refused {
+pub struct RefusedRequest {
     /// Request id; empty if the request had none.
     pub id: String,
     /// Program id, if the request named one.
     pub program: Option<String>,
-    /// Answer to the caller.
+    /// Refusal to send to the caller.
     pub refusal: Refusal,
 }
 
 /// Admits a request or refuses it.
-pub async fn admit(node: &Rc<FrontNode>, request: &CallerRequest) -> Result<Admitted, Refused> {
+pub async fn admit(
+    node: &Rc<FrontNode>,
+    request: &CallerRequest,
+) -> Result<Admitted, RefusedRequest> {
     let context = headers::decode_request(|name| {
         request.head.headers().get(name).and_then(|value| value.to_str().ok())
     });
     let id = context.id.clone();
     let program = context.program.as_ref().map(|program| program.id.clone());
     let result = admit_decoded(node, request, context).await;
-    result.map_err(|refusal| Refused { id, program, refusal })
+    result.map_err(|refusal| RefusedRequest { id, program, refusal })
 }
 
 async fn admit_decoded(
@@ -136,7 +143,7 @@
     let service = route.service_for(&context.id).cloned().ok_or_else(|| {
         Refusal::not_run(RefusalKind::NoBackend, "the route names no service; publish one")
     })?;
-    let time_limit = context.deadline.unwrap_or(DEADLINE_DEFAULT).min(route.timeout);
+    let time_limit = context.deadline.unwrap_or(TIME_LIMIT_DEFAULT).min(route.timeout);
     let deadline = request.arrived_at + time_limit;
     let team_name = team.as_ref().map(|team| team.name.as_str()).unwrap_or_default();
     let service_spec = table.service(&service);
@@ -185,7 +192,8 @@
     if let Some(route) = table.route(host.unwrap_or_default(), request.head.path()) {
         return Ok(route.clone());
     }
-    // A newer configuration may have the route, so only a fresh one can report it as unknown.
+    // A newer configuration may have the route, so it is reported as unknown only if the active
+    // configuration is current.
     node.require_fresh()?;
     Err(Refusal::not_run(
         RefusalKind::RouteUnknown,
@@ -234,14 +242,14 @@
         forwarded.insert(headers::TEAM, value);
     }
     if route.repeat.is_stream() {
-        let rank = team.and_then(|team| team.priority).unwrap_or(route.priority);
-        let priority = u64::from(rank) + ENGINE_PRIORITY_BASE;
-        forwarded.insert(headers::ENGINE_PRIORITY, priority.min(ENGINE_PRIORITY_MAX).into());
+        let priority = team.and_then(|team| team.priority).unwrap_or(route.priority);
+        let engine_priority = u64::from(priority) + ENGINE_PRIORITY_BASE;
+        forwarded.insert(headers::ENGINE_PRIORITY, engine_priority.min(ENGINE_PRIORITY_MAX).into());
     }
     forwarded
 }
 
-/// Engine priority of requests with priority 0; leaves room for more urgent ones.
+/// Engine priority of requests with priority 0; lower values are left for more urgent requests.
 const ENGINE_PRIORITY_BASE: u64 = 3;
-/// Least urgent engine priority.
+/// Maximum engine priority value, which is the least urgent.
 const ENGINE_PRIORITY_MAX: u64 = 9;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -7,7 +7,7 @@
 use dandelionfront::settings::Settings;
 use dandelionfront::{front, logs, process};
 
-/// Exit code of faulty settings.
+/// Exit code for invalid settings.
 const EXIT_USAGE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -24,9 +24,9 @@
         Some(Command::Front(args)) => front::run(&args, cli.log_level),
         None => match Settings::from_args(&cli.node) {
             Ok(settings) => process::run(settings),
-            Err(faults) => {
-                for fault in &faults {
-                    eprintln!("error: {fault}");
+            Err(errors) => {
+                for error in &errors {
+                    eprintln!("error: {error}");
                 }
                 ExitCode::from(EXIT_USAGE)
             }
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -1,4 +1,4 @@
-//! Executes an admitted call at a backend server.
+//! Executes an admitted call on a backend server.
 
 use std::time::Duration;
 
@@ -15,19 +15,19 @@
     BackendAnswer, BackendError, EngineCall, GenerationSink, HttpEngine, HttpService,
     ModelEngine as _, PlainService as _, ServiceCall,
 };
-use crate::crash::{self, Step};
+use crate::crash::{self, CrashPoint};
 use crate::process::Worker;
 use crate::process::metrics::RetryReason;
 
-/// Tries of one attempt at different backend servers.
+/// Maximum number of backend servers tried in one attempt.
 const TRIES_MAX: usize = 3;
-/// Time between two checks for an abandoned call.
-const ABANDON_CHECK: Duration = Duration::from_millis(100);
+/// Interval between checks whether a call was abandoned.
+const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Executes a call and records its end.
+/// Executes a call and records the result.
 pub async fn run(worker: Worker, ticket: CallTicket, request: CallRequest) {
     let repeatable = request.repeatable;
-    reach(repeatable, Step::Started);
+    hit_crash_point(repeatable, CrashPoint::Started);
     let end = match execute(&worker, &ticket, &request).await {
         Ok((done, backend)) => {
             AttemptEnd::Answered { answer: done.answer, usage: done.usage, backend }
@@ -35,7 +35,7 @@
         Err(BackendError::NotRun(refusal)) => AttemptEnd::NotSent(refusal),
         Err(BackendError::Lost(refusal)) => AttemptEnd::Lost(refusal),
     };
-    reach(repeatable, Step::Answered);
+    hit_crash_point(repeatable, CrashPoint::Answered);
     if let AttemptEnd::NotSent(refusal) | AttemptEnd::Lost(refusal) = &end {
         info!(
             "event=attempt_failed program={} sequence={} kind={} run={:?}",
@@ -51,10 +51,10 @@
     }
 }
 
-/// Marks a step of a non-repeatable call.
-pub fn reach(repeatable: bool, step: Step) {
+/// Hits a crash point, but only for a call that is not repeatable.
+pub fn hit_crash_point(repeatable: bool, point: CrashPoint) {
     if !repeatable {
-        crash::reach(step);
+        crash::hit(point);
     }
 }
 
@@ -81,7 +81,7 @@
         worker.shared.control.release(placement);
         let reason = retry_reason(request, &result).filter(|_| tried.len() < TRIES_MAX);
         let Some(reason) = reason else {
-            // A refusal of this try says nothing about an earlier one that was lost.
+            // A refusal by this backend server does not show whether an earlier one ran the call.
             return result.map(|answer| (answer, backend)).map_err(|error| lost.unwrap_or(error));
         };
         if let Err(error @ BackendError::Lost(_)) = result {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Returns why a failed try may be repeated at another backend server.
+/// Returns the reason to retry on another backend server, or `None` if a retry is not allowed.
 fn retry_reason(
     request: &CallRequest,
     result: &Result<BackendAnswer, BackendError>,
@@ -100,7 +100,7 @@
         Err(BackendError::NotRun(refusal)) if refusal.kind == RefusalKind::NoBackend => {
             Some(RetryReason::BackendUnreachable)
         }
-        // Parts of a stream may already be with the caller; another run may differ from them.
+        // Not for streams: the caller may have received chunks from which another run would differ.
         Err(BackendError::Lost(_)) if request.repeatable && !request.stream => {
             Some(RetryReason::AttemptLost)
         }
@@ -109,7 +109,7 @@
 }
 
 fn is_past_deadline(worker: &Worker, ticket: &CallTicket) -> bool {
-    ticket.dispatch_before.is_some_and(|before| worker.shared.clock.monotonic() >= before)
+    ticket.dispatch_deadline.is_some_and(|deadline| worker.shared.clock.monotonic() >= deadline)
 }
 
 async fn try_backend(
@@ -143,8 +143,8 @@
     request: &CallRequest,
     placement: &Placement,
 ) -> Result<BackendAnswer, BackendError> {
-    let silence = worker.shared.settings.engine_silence;
-    let engine = HttpEngine::new(worker.clients.engines.clone(), &placement.address, silence);
+    let idle_timeout = worker.shared.settings.engine_silence;
+    let engine = HttpEngine::new(worker.clients.engines.clone(), &placement.address, idle_timeout);
     let call = EngineCall {
         request_id: format!("{}-{}-{}", ticket.program, ticket.key.sequence, ticket.key.attempt),
         program: ticket.program.clone(),
@@ -155,7 +155,7 @@
     let mut sink = FeedSink { worker, ticket, stream: request.stream };
     let result = {
         let generated = engine.generate(&call, &mut sink);
-        let abandoned = std::pin::pin!(wait_abandoned(worker, ticket));
+        let abandoned = std::pin::pin!(wait_until_abandoned(worker, ticket));
         match select(generated, abandoned).await {
             Either::Left((result, _)) => result,
             Either::Right(((), _)) => Err(BackendError::Lost(abandoned_refusal())),
@@ -168,7 +168,7 @@
     result
 }
 
-/// Passes the parts of a completion on to whoever follows the call.
+/// Pushes the chunks of a streamed completion to the feed of the call.
 struct FeedSink<'a> {
     worker: &'a Worker,
     ticket: &'a CallTicket,
@@ -176,22 +176,22 @@
 }
 
 impl GenerationSink for FeedSink<'_> {
-    fn part(&mut self, data: &str) {
+    fn on_chunk(&mut self, data: &str) {
         if self.stream {
             self.ticket.feed.push(Payload::from(data));
         }
     }
 
-    fn resumed(&mut self) {
+    fn on_resumed(&mut self) {
         self.worker.shared.metrics.count_retry(RetryReason::StreamResumed);
     }
 }
 
-/// Completes once the call was cancelled, or no caller has waited for it for too long.
-async fn wait_abandoned(worker: &Worker, ticket: &CallTicket) {
+/// Completes when the call is cancelled or has been without a waiting caller for too long.
+async fn wait_until_abandoned(worker: &Worker, ticket: &CallTicket) {
     let mut since = None;
     loop {
-        sleep(ABANDON_CHECK).await;
+        sleep(ABANDON_CHECK_INTERVAL).await;
         if ticket.feed.is_closed() {
             return;
         }
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -1,10 +1,10 @@
-//! `POST /v1/programs`, `GET` and `DELETE /v1/programs/{id}`, `GET /v1/models`.
+//! Handlers of `POST /v1/programs`, `GET` and `DELETE /v1/programs/{id}` and `GET /v1/models`.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use dandelionfront_coordination::ids::{
-    CallSequence, ProgramHome, ProgramId, RouteId, home_of_program,
+    CallSequence, ProgramId, RegionShard, RouteId, parse_program_id,
 };
 use dandelionfront_coordination::owner::ProgramSpec;
 use dandelionfront_coordination::program::{Call, CallPhase};
@@ -18,7 +18,7 @@
 use serde_json::json;
 
 use super::answer::refuse;
-use super::auth::{OPEN_TEAM, identify, key_missing};
+use super::auth::{ANONYMOUS_TEAM, authenticate, key_missing};
 use super::forwarded::serve_program_request;
 use super::routes::read_body;
 use crate::connection::forward::{
@@ -27,10 +27,10 @@
 use crate::process::metrics::RetryReason;
 use crate::process::{Control, Worker};
 
-/// Pause between two tries to reach the owner.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for another node's reply.
-const REPLY_WAIT: Duration = Duration::from_secs(5);
+/// Delay between attempts to reach the owner.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeout of the reply from another node.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Body of `POST /v1/programs`.
 #[derive(Debug, Default, Deserialize)]
@@ -56,7 +56,7 @@
     }
 }
 
-/// Returns state and whole history of a program.
+/// Returns the state and complete history of a program.
 pub async fn get_program(
     worker: State<Rc<Worker>>,
     request: HttpRequest,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Ends a program wherever it is served.
+/// Ends a program, on whichever node it is served.
 ///
 /// # Errors
 ///
@@ -100,27 +100,27 @@
     team: Option<String>,
     reason: CloseReason,
 ) -> Result<Vec<ProgramId>, Refusal> {
-    let home = home_of_program(id).ok_or_else(Refusal::program_unknown)?;
+    let region_shard = parse_program_id(id).ok_or_else(Refusal::program_unknown)?;
     let close = ProgramRequest::Close { id: id.to_owned(), team, reason };
-    match ask_owner(worker, &home, close).await? {
+    match send_to_owner(worker, &region_shard, close).await? {
         ProgramReply::Closed(ended) => Ok(ended),
-        _ => Err(owner_confused()),
+        _ => Err(unexpected_owner_reply()),
     }
 }
 
-/// Reads a program wherever it is served, with all bodies.
+/// Reads a program with all bodies, on whichever node it is served.
 ///
 /// # Errors
 ///
-/// Refuses when the program is unknown or its owner or a body cannot be read.
+/// Refuses when the program is unknown, its owner cannot be reached or a body cannot be read.
 pub async fn program_view(
     worker: &Worker,
     id: &str,
     request: ProgramRequest,
 ) -> Result<ProgramView, Refusal> {
-    let home = home_of_program(id).ok_or_else(Refusal::program_unknown)?;
-    let ProgramReply::State(program) = ask_owner(worker, &home, request).await? else {
-        return Err(owner_confused());
+    let region_shard = parse_program_id(id).ok_or_else(Refusal::program_unknown)?;
+    let ProgramReply::State(program) = send_to_owner(worker, &region_shard, request).await? else {
+        return Err(unexpected_owner_reply());
     };
     let load = move |control: Rc<Control>| async move { view(&control, *program).await };
     worker.shared.control.run(load).await?
@@ -129,7 +129,7 @@
 /// Lists the routes that the caller may use.
 pub async fn list_models(worker: State<Rc<Worker>>, request: HttpRequest) -> HttpResponse {
     let config = worker.shared.config();
-    match identify(&config, &request) {
+    match authenticate(&config, &request) {
         Ok(caller) => {
             let team = caller.as_ref().map(|caller| caller.team.as_str());
             let data: Vec<_> = visible_models(&config, team)
@@ -171,24 +171,25 @@
     let budget_tokens = team_budget(&config, &team)
         .map_or(wanted.budget_tokens, |own| Some(wanted.budget_tokens.unwrap_or(own).min(own)));
     let spec = ProgramSpec { team, parent: wanted.parent, budget_tokens };
-    let home = match &spec.parent {
-        Some(parent) => home_of_program(parent).ok_or_else(Refusal::program_unknown)?,
-        None => new_home(worker).await?,
+    let region_shard = match &spec.parent {
+        Some(parent) => parse_program_id(parent).ok_or_else(Refusal::program_unknown)?,
+        None => choose_region_shard(worker).await?,
     };
-    match ask_owner(worker, &home, ProgramRequest::Open(spec)).await? {
+    match send_to_owner(worker, &region_shard, ProgramRequest::Open(spec)).await? {
         ProgramReply::Opened(id) => Ok(id),
-        _ => Err(owner_confused()),
+        _ => Err(unexpected_owner_reply()),
     }
 }
 
-/// Returns a home served here, or any home of the region while this node serves none.
-async fn new_home(worker: &Worker) -> Result<ProgramHome, Refusal> {
+/// Returns a shard for a new program: a random shard that this node serves, or any shard of the
+/// region if this node serves none.
+async fn choose_region_shard(worker: &Worker) -> Result<RegionShard, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
     let shards = worker.shared.control.run(serving).await?;
     let position = rand::random_range(0..shards.len().max(1));
     let any = || rand::random_range(0..worker.shared.settings.node.shard_count);
     let shard = shards.get(position).copied().unwrap_or_else(any);
-    Ok(ProgramHome { region: worker.shared.settings.identity.region.clone(), shard })
+    Ok(RegionShard { region: worker.shared.settings.identity.region.clone(), shard })
 }
 
 fn team_budget(config: &ConfigSnapshot, team: &str) -> Option<u64> {
@@ -197,22 +198,22 @@
 }
 
 fn require_team(worker: &Worker, request: &HttpRequest) -> Result<String, Refusal> {
-    let caller = identify(&worker.shared.config(), request)?.ok_or_else(key_missing)?;
-    debug_assert_ne!(caller.team, OPEN_TEAM);
+    let caller = authenticate(&worker.shared.config(), request)?.ok_or_else(key_missing)?;
+    debug_assert_ne!(caller.team, ANONYMOUS_TEAM);
     Ok(caller.team)
 }
 
-/// Sends a program request to the owner of `home`, wherever that is.
-async fn ask_owner(
+/// Sends a program request to the owner of `region_shard`; retries until `owner_wait` has elapsed.
+async fn send_to_owner(
     worker: &Worker,
-    home: &ProgramHome,
+    region_shard: &RegionShard,
     request: ProgramRequest,
 ) -> Result<ProgramReply, Refusal> {
     let process = &worker.shared;
-    let give_up_at = process.clock.monotonic() + process.settings.owner_wait;
+    let deadline = process.clock.monotonic() + process.settings.owner_wait;
     let mut run = RunState::NotRun;
     loop {
-        let failure = match ask_once(worker, home, &request).await? {
+        let failure = match try_send_to_owner(worker, region_shard, &request).await? {
             Ok(ProgramReply::Refused(refusal)) if refusal.kind == RefusalKind::NotOwner => {
                 RetryReason::OwnerMoved
             }
@@ -225,32 +226,32 @@
             }
         };
         process.metrics.count_retry(failure);
-        if process.clock.monotonic() >= give_up_at {
+        if process.clock.monotonic() >= deadline {
             let message = "the program's owner cannot be reached; repeat the request";
             return Err(Refusal {
                 run,
                 ..Refusal::not_run(RefusalKind::OwnerUnreachable, message)
             });
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-async fn ask_once(
+async fn try_send_to_owner(
     worker: &Worker,
-    home: &ProgramHome,
+    region_shard: &RegionShard,
     request: &ProgramRequest,
 ) -> Result<Result<ProgramReply, ForwardError>, Refusal> {
-    Ok(match worker.shared.control.locate(home).await? {
+    Ok(match worker.shared.control.locate(region_shard).await? {
         Location::Local => Ok(serve_program_request(worker, request.clone()).await),
         Location::Remote(address) => {
-            send_program_request(&worker.clients.peers, &address, request, REPLY_WAIT).await
+            send_program_request(&worker.clients.peers, &address, request, REPLY_TIMEOUT).await
         }
         Location::Unknown => Err(ForwardError::NeverSent),
     })
 }
 
-fn owner_confused() -> Refusal {
+fn unexpected_owner_reply() -> Refusal {
     Refusal::may_have_run(
         RefusalKind::OwnerUnreachable,
         "the owner gave an answer of another version; finish the upgrade of all nodes and repeat",
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -1,11 +1,11 @@
-//! Sends a call to its program's owner, wherever that is, and follows it to the end.
+//! Sends a call to the owner of its program, on this or another node, and receives its events.
 
 use std::hash::{DefaultHasher, Hash as _, Hasher as _};
 use std::rc::Rc;
 use std::time::Duration;
 
 use dandelionfront_coordination::call::FeedReader;
-use dandelionfront_coordination::ids::home_of_program;
+use dandelionfront_coordination::ids::parse_program_id;
 use dandelionfront_coordination::record::StoredAnswer;
 use dandelionfront_coordination::{
     Admission, Answer, CallEvent, CallFeed, CallRequest, Clock as _, Location, Payload, Refusal,
@@ -19,72 +19,73 @@
 use super::auth::KeyGuard;
 use super::execute;
 use crate::connection::forward::{ForwardError, RemoteCall};
-use crate::crash::Step;
+use crate::crash::CrashPoint;
 use crate::process::metrics::RetryReason;
 use crate::process::{Control, Worker};
 
-/// Pause between two tries to reach the owner.
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Longest wait for an owner to begin its answer: it sends a first event at once.
-const OWNER_SILENCE: Duration = Duration::from_secs(5);
-/// Longest time without an event from the owner, which sends a keep-alive in between.
-const EVENT_SILENCE: Duration = Duration::from_secs(5);
+/// Delay between attempts to reach the owner.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeout for the start of an owner's response, which begins before the call is admitted.
+const OWNER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Idle timeout of the event stream from an owner, which sends keep-alive events.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
 enum Source {
-    /// Not connected to an owner.
+    /// No owner is connected.
     Detached,
-    /// The owner is this node.
+    /// This node is the owner.
     Local(FeedReader),
-    /// The owner is another node.
+    /// Another node is the owner.
     Remote(Box<RemoteCall>),
-    /// The call has ended.
+    /// The last event was returned.
     Ended,
 }
 
-/// Events of one call, surviving moves and losses of its owner.
+/// Event stream of one call; reconnects when the owner of the program moves or fails.
 pub struct CallStream {
     worker: Worker,
     request: CallRequest,
     guard: KeyGuard,
     source: Source,
-    /// Whether an owner that is lost may have run the call.
+    /// Whether an owner that failed may have run the call.
     may_have_run: bool,
-    give_up_at: Duration,
-    delivered: Delivered,
-    replayed: Delivered,
+    deadline: Duration,
+    delivered: StreamPrefix,
+    replayed: StreamPrefix,
 }
 
-/// Parts of a stream that went to the caller, to recognise them when the call is joined again.
+/// Number and digest of the first chunks of a stream. After a reconnection they show whether the
+/// new stream starts with the chunks that the caller already received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Delivered {
-    parts: usize,
+struct StreamPrefix {
+    chunks: usize,
     digest: u64,
 }
 
-impl Delivered {
-    fn add(&mut self, part: &Payload) {
+impl StreamPrefix {
+    fn add(&mut self, chunk: &Payload) {
         let mut hasher = DefaultHasher::new();
         self.digest.hash(&mut hasher);
-        part.0.hash(&mut hasher);
+        chunk.0.hash(&mut hasher);
         self.digest = hasher.finish();
-        self.parts += 1;
+        self.chunks += 1;
     }
 }
 
 impl CallStream {
-    /// Creates the stream of `request`; nothing is sent before the first event is asked for.
+    /// Creates the stream of `request`; the request is sent by the first [`CallStream::next`].
     #[must_use]
     pub fn new(worker: Worker, request: CallRequest, guard: KeyGuard) -> Self {
-        let give_up_at = worker.shared.clock.monotonic() + worker.shared.settings.owner_wait;
+        let deadline = worker.shared.clock.monotonic() + worker.shared.settings.owner_wait;
         Self {
             worker,
             request,
             guard,
             source: Source::Detached,
             may_have_run: false,
-            give_up_at,
-            delivered: Delivered::default(),
-            replayed: Delivered::default(),
+            deadline,
+            delivered: StreamPrefix::default(),
+            replayed: StreamPrefix::default(),
         }
     }
 
@@ -94,19 +95,19 @@
         &self.request.program
     }
 
-    /// Returns whether the caller reads a stream.
+    /// Returns whether the caller asked for a streamed answer.
     #[must_use]
     pub fn wants_stream(&self) -> bool {
         self.request.stream
     }
 
-    /// Returns the next event; [`CallEvent::Finished`] and [`CallEvent::Refused`] are the last.
+    /// Returns the next event; [`CallEvent::Finished`] and [`CallEvent::Refused`] end the stream.
     pub async fn next(&mut self) -> CallEvent {
         let mut guard = self.guard.clone();
         let event = {
-            let ended = std::pin::pin!(guard.ended());
-            let event = std::pin::pin!(self.next_unguarded());
-            match select(ended, event).await {
+            let invalidated = std::pin::pin!(guard.invalidated());
+            let event = std::pin::pin!(self.next_ignoring_key());
+            match select(invalidated, event).await {
                 Either::Left((refusal, _)) => CallEvent::Refused(refusal),
                 Either::Right((event, _)) => event,
             }
@@ -117,7 +118,7 @@
         event
     }
 
-    /// Waits for the outcome and drops the parts before it.
+    /// Waits for the final result and discards the chunks before it.
     ///
     /// # Errors
     ///
@@ -132,7 +133,7 @@
         }
     }
 
-    async fn next_unguarded(&mut self) -> CallEvent {
+    async fn next_ignoring_key(&mut self) -> CallEvent {
         loop {
             let event = match &mut self.source {
                 Source::Detached => match self.attach().await {
@@ -140,7 +141,7 @@
                     Err(refusal) => return CallEvent::Refused(refusal),
                 },
                 Source::Local(reader) => Some(reader.next().await),
-                Source::Remote(call) => call.next(EVENT_SILENCE).await,
+                Source::Remote(call) => call.next(EVENT_TIMEOUT).await,
                 Source::Ended => return CallEvent::Refused(Refusal::outcome_unknown()),
             };
             match event {
@@ -148,8 +149,8 @@
                     self.may_have_run |= refusal.run != RunState::NotRun;
                     self.detach(RetryReason::OwnerMoved);
                 }
-                Some(CallEvent::Delta(part)) => match self.deliver(part) {
-                    Ok(Some(part)) => return CallEvent::Delta(part),
+                Some(CallEvent::Delta(chunk)) => match self.deliver(chunk) {
+                    Ok(Some(chunk)) => return CallEvent::Delta(chunk),
                     Ok(None) => {}
                     Err(refusal) => return CallEvent::Refused(refusal),
                 },
@@ -162,15 +163,15 @@
         }
     }
 
-    /// Skips parts that the caller already has; fails when a repeated run differs from them.
-    fn deliver(&mut self, part: Payload) -> Result<Option<Payload>, Refusal> {
-        if self.replayed.parts == self.delivered.parts {
-            self.delivered.add(&part);
+    /// Skips chunks that the caller already received; fails when the replayed chunks differ.
+    fn deliver(&mut self, chunk: Payload) -> Result<Option<Payload>, Refusal> {
+        if self.replayed.chunks == self.delivered.chunks {
+            self.delivered.add(&chunk);
             self.replayed = self.delivered;
-            return Ok(Some(part));
+            return Ok(Some(chunk));
         }
-        self.replayed.add(&part);
-        if self.replayed.parts == self.delivered.parts && self.replayed != self.delivered {
+        self.replayed.add(&chunk);
+        if self.replayed.chunks == self.delivered.chunks && self.replayed != self.delivered {
             return Err(interrupted());
         }
         Ok(None)
@@ -181,7 +182,7 @@
             CallEvent::Finished(_) if self.replayed != self.delivered => {
                 CallEvent::Refused(interrupted())
             }
-            // An earlier owner may have run a repeatable call without a record of it.
+            // A failed owner may have run a repeatable call without recording it.
             CallEvent::Refused(refusal) if self.may_have_run && self.request.repeatable => {
                 CallEvent::Refused(Refusal { run: RunState::Unknown, ..refusal })
             }
@@ -193,15 +194,16 @@
         self.worker.shared.metrics.count_retry(reason);
         debug!("event=call_detached program={} reason={reason:?}", self.request.program);
         self.source = Source::Detached;
-        self.replayed = Delivered::default();
+        self.replayed = StreamPrefix::default();
         let settings = &self.worker.shared.settings;
-        self.give_up_at = self.worker.shared.clock.monotonic() + settings.owner_wait;
+        self.deadline = self.worker.shared.clock.monotonic() + settings.owner_wait;
     }
 
     async fn attach(&mut self) -> Result<(), Refusal> {
-        let home = home_of_program(&self.request.program).ok_or_else(Refusal::program_unknown)?;
+        let region_shard =
+            parse_program_id(&self.request.program).ok_or_else(Refusal::program_unknown)?;
         loop {
-            let location = self.worker.shared.control.locate(&home).await?;
+            let location = self.worker.shared.control.locate(&region_shard).await?;
             let failure = match location {
                 Location::Local => match self.attach_local().await {
                     Err(refusal) if refusal.kind == RefusalKind::NotOwner => {
@@ -216,10 +218,10 @@
                 Location::Unknown => RetryReason::OwnerUnreachable,
             };
             self.worker.shared.metrics.count_retry(failure);
-            if self.worker.shared.clock.monotonic() >= self.give_up_at {
+            if self.worker.shared.clock.monotonic() >= self.deadline {
                 return Err(self.owner_unreachable());
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
@@ -230,7 +232,7 @@
 
     async fn attach_remote(&mut self, address: &str) -> Result<(), RetryReason> {
         let client = &self.worker.clients.peers;
-        match RemoteCall::send(client, address, &self.request, OWNER_SILENCE).await {
+        match RemoteCall::send(client, address, &self.request, OWNER_TIMEOUT).await {
             Ok(call) => {
                 self.source = Source::Remote(Box::new(call));
                 Ok(())
@@ -251,14 +253,14 @@
     }
 }
 
-/// Admits a call on this node and starts its execution where it has to run.
+/// Admits a call on this node and executes it unless it already runs or has finished.
 ///
 /// # Errors
 ///
-/// Refuses as [`dandelionfront_coordination::Owner::admit`] does.
+/// Refuses as documented at [`dandelionfront_coordination::Owner::admit`].
 pub async fn admit_local(worker: &Worker, request: &CallRequest) -> Result<FeedReader, Refusal> {
     let (reply, admitted) = oneshot::channel();
-    // A task of its own: a caller that goes away must not strand an admitted call.
+    // Runs in a separate task, because an admitted call must end even if its caller disconnects.
     ntex::rt::spawn(admit_and_run(worker.clone(), request.clone(), reply));
     admitted.await.unwrap_or_else(|_| Err(Refusal::outcome_unknown()))
 }
@@ -268,7 +270,7 @@
     request: CallRequest,
     reply: oneshot::Sender<Result<FeedReader, Refusal>>,
 ) {
-    execute::reach(request.repeatable, Step::Arrived);
+    execute::hit_crash_point(request.repeatable, CrashPoint::Arrived);
     let result = match worker.shared.control.admit(request.clone()).await {
         Ok(Admission::Run(ticket)) => {
             let _ = reply.send(Ok(ticket.feed.reader()));
@@ -281,7 +283,7 @@
     let _ = reply.send(result);
 }
 
-/// Returns a reader of a recorded answer.
+/// Returns a reader that receives a recorded answer.
 async fn replay(worker: &Worker, stored: StoredAnswer) -> Result<FeedReader, Refusal> {
     let StoredAnswer { status, content_type, body } = stored;
     let load = move |control: Rc<Control>| async move { control.load_body(&body).await };
--- a/crates/daemon/tests/support/process.rs
+++ b/crates/daemon/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! Child processes that end with the test.
+//! Child processes that are killed at the end of the test.
 
 use std::io::{BufRead as _, BufReader, Read};
 use std::path::Path;
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::Duration;
 
-/// Longest wait for a process to announce its address.
-const ANNOUNCE_WAIT: Duration = Duration::from_secs(20);
+/// Longest wait for a line that a process must print, such as the line with its address.
+const LINE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A child process, killed when dropped.
 pub struct ChildProcess {
     child: Child,
     lines: Arc<Mutex<Vec<String>>>,
-    announced: mpsc::Receiver<String>,
+    unread_lines: mpsc::Receiver<String>,
 }
 
 impl ChildProcess {
@@ -22,10 +22,10 @@
         Self::spawn(Path::new(env!("CARGO_BIN_EXE_dandelionfront")), args, environment)
     }
 
-    /// Starts a stand-in, an example of the stand-ins package.
+    /// Starts a stand-in, which is built as an example of the package of stand-ins.
     pub fn standin(name: &str, args: &[String]) -> Self {
         let daemon = Path::new(env!("CARGO_BIN_EXE_dandelionfront"));
-        let folder = daemon.parent().expect("the daemon lies in the target folder");
+        let folder = daemon.parent().expect("the daemon is in the target directory");
         Self::spawn(&folder.join("examples").join(name), args, &[])
     }
 
@@ -39,20 +39,20 @@
             .spawn()
             .unwrap_or_else(|error| panic!("cannot start {}: {error}", program.display()));
         let lines = Arc::new(Mutex::new(Vec::new()));
-        let (sender, announced) = mpsc::channel();
+        let (sender, unread_lines) = mpsc::channel();
         let stdout = child.stdout.take().expect("stdout is piped");
         let stderr = child.stderr.take().expect("stderr is piped");
-        collect(stdout, Arc::clone(&lines), sender.clone());
-        collect(stderr, Arc::clone(&lines), sender);
-        Self { child, lines, announced }
+        collect_lines(stdout, Arc::clone(&lines), sender.clone());
+        collect_lines(stderr, Arc::clone(&lines), sender);
+        Self { child, lines, unread_lines }
     }
 
-    /// Waits for the next line that contains `marker` and returns its values by key.
+    /// Waits for the next line that contains `marker` and returns its `key=value` pairs.
     pub fn wait_for(&self, marker: &str) -> Vec<(String, String)> {
-        let deadline = std::time::Instant::now() + ANNOUNCE_WAIT;
+        let deadline = std::time::Instant::now() + LINE_TIMEOUT;
         loop {
             let left = deadline.saturating_duration_since(std::time::Instant::now());
-            match self.announced.recv_timeout(left) {
+            match self.unread_lines.recv_timeout(left) {
                 Ok(line) if line.contains(marker) => return parse_pairs(&line),
                 Ok(_) => {}
                 Err(error) => panic!(
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Returns everything that the process printed so far.
+    /// Returns all lines that the process has printed so far.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().expect("no panic while holding the lock").clone()
     }
@@ -73,7 +73,7 @@
         self.child.id()
     }
 
-    /// Kills the process at once.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -86,7 +86,7 @@
         assert!(status.is_ok_and(|status| status.success()), "kill -{name} failed");
     }
 
-    /// Returns the exit code if the process has ended.
+    /// Returns the exit code of the process, `-1` if a signal ended it, or `None` while it runs.
     pub fn try_exit(&mut self) -> Option<i32> {
         self.child.try_wait().ok().flatten().map(|status| status.code().unwrap_or(-1))
     }
@@ -101,7 +101,7 @@
     }
 }
 
-fn collect(
+fn collect_lines(
     output: impl Read + Send + 'static,
     lines: Arc<Mutex<Vec<String>>>,
     sender: mpsc::Sender<String>,
