--- a/crates/daemon/src/backend/service.rs
+++ b/crates/daemon/src/backend/service.rs
@@ -9,7 +9,7 @@
 use ntex::time::timeout;
 
 use super::{BackendAnswer, BackendError};
-use crate::connection::clients::is_never_sent;
+use crate::connection::clients::proves_not_sent;
 use crate::consts::{
     DEADLINE_HEADER, FENCING_NUMBER_HEADER, IDEMPOTENCY_KEY_HEADER, PROGRAM_ID_HEADER,
 };
@@ -29,7 +29,8 @@
     pub idempotency_key: String,
     /// Program that the call belongs to.
     pub program: String,
-    /// Fencing token of the shard's owner, by which the service can reject calls of earlier owners.
+    /// Fencing token, by which the service can reject calls from an earlier owner of the program's
+    /// shard.
     pub fencing_number: u64,
 }
 
@@ -71,7 +72,7 @@
             .force_close();
         let response = match request.send_body(call.body.clone()).await {
             Ok(response) => response,
-            Err(error) if is_never_sent(&error) => return Err(service_unreachable()),
+            Err(error) if proves_not_sent(&error) => return Err(service_unreachable()),
             Err(_) => return Err(lost("closed the connection")),
         };
         let content_type = response.header("content-type").and_then(|value| value.to_str().ok());
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -1,4 +1,4 @@
-//! Keeps the active configuration up to date with the version in the head row.
+//! Keeps the active configuration up to date with the newest published version.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -28,17 +28,19 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// Holds the active configuration and switches to newer versions.
-pub struct Follower {
+pub struct ConfigFollower {
     store: ConfigStore,
     peers: Rc<dyn Peers>,
     current: watch::Sender<Arc<ConfigSnapshot>>,
+    /// Changes of the most recent versions, without gaps.
     recent: RefCell<VecDeque<VersionRow>>,
-    newer_peer: RefCell<Option<NewerConfig>>,
-    peer_has_newer: Notify,
+    /// Last newer version that a peer reported and that was not fetched yet.
+    newer_config: RefCell<Option<NewerConfig>>,
+    newer_config_reported: Notify,
     metrics: Metrics,
 }
 
-impl Follower {
+impl ConfigFollower {
     /// Creates a follower that sends each newly active version to `current`.
     #[must_use]
     pub fn new(
@@ -52,8 +54,8 @@
             peers,
             current,
             recent: RefCell::default(),
-            newer_peer: RefCell::default(),
-            peer_has_newer: Notify::new(),
+            newer_config: RefCell::default(),
+            newer_config_reported: Notify::new(),
             metrics,
         }
     }
@@ -81,7 +83,7 @@
         &self.store
     }
 
-    /// Activates each newer version that the head row names or that a peer has.
+    /// Activates newer versions as the head row or a peer reports them.
     pub async fn follow(&self, mut head: watch::Receiver<Head>) {
         loop {
             let newest = head.borrow_and_update().config_version;
@@ -96,7 +98,7 @@
                 continue;
             }
             let changed = std::pin::pin!(head.changed());
-            let notified = std::pin::pin!(self.peer_has_newer.notified());
+            let notified = std::pin::pin!(self.newer_config_reported.notified());
             select(changed, notified).await;
         }
     }
@@ -118,16 +120,16 @@
         }
     }
 
-    /// Fetches a newer version from a peer, if one is known to have it; returns `false` if the
-    /// fetch failed.
+    /// Activates the newer version that a peer reported, if any; returns `false` if it could not be
+    /// fetched or applied.
     async fn catch_up_from_peer(&self) -> bool {
-        let Some(newer) = self.newer_peer.borrow_mut().take() else { return true };
+        let Some(newer) = self.newer_config.borrow_mut().take() else { return true };
         let current = self.current();
         if newer.version <= current.version() {
             return true;
         }
         match self.peers.config_after(&newer.peer_address, current.version()).await {
-            Ok(transfer) => self.adopt_transfer(&current, transfer).await,
+            Ok(transfer) => self.activate_transfer(&current, transfer).await,
             Err(error) => {
                 debug!("event=config_transfer_failed cause={error:?}");
                 false
@@ -135,12 +137,12 @@
         }
     }
 
-    async fn adopt_transfer(&self, current: &ConfigSnapshot, transfer: ConfigTransfer) -> bool {
+    async fn activate_transfer(&self, current: &ConfigSnapshot, transfer: ConfigTransfer) -> bool {
         match transfer {
             ConfigTransfer::Full { version, digest, objects } => {
                 let intact = objects.digest() == digest;
                 if intact {
-                    self.adopt(version, *objects);
+                    self.activate(version, *objects);
                 }
                 intact
             }
@@ -154,7 +156,7 @@
                             return false;
                         }
                     }
-                    self.adopt(row.version, objects.clone());
+                    self.activate(row.version, objects.clone());
                     self.cache_recent(row);
                 }
                 true
@@ -162,8 +164,10 @@
         }
     }
 
-    /// Caches the changes of a version for peers that lag behind; changes that are too large to be
-    /// stored inline clear the cache.
+    /// Caches the changes of a version for peers that lag behind.
+    ///
+    /// The cache holds consecutive versions; a gap, or changes that are too large to be stored
+    /// inline, clears it.
     fn cache_recent(&self, row: VersionRow) {
         let mut recent = self.recent.borrow_mut();
         if !matches!(row.changes, Body::Inline(_)) {
@@ -196,7 +200,7 @@
         let current = self.current();
         let row = self.store.publish(publication, current.objects(), now).await?;
         let published = Published::from(&row);
-        self.adopt(row.version, publication.objects.clone());
+        self.activate(row.version, publication.objects.clone());
         // Lets peers fetch only the changes of this version instead of the complete set.
         self.cache_recent(row);
         Ok(published)
@@ -209,7 +213,7 @@
         }
         let from = (current.version(), current.objects());
         let (version, objects, rows) = self.store.catch_up(from, newest).await?;
-        self.adopt(version, objects);
+        self.activate(version, objects);
         for row in rows {
             self.cache_recent(row);
         }
@@ -217,28 +221,28 @@
     }
 
     /// Activates `version`, unless the same or a newer version is already active.
-    fn adopt(&self, version: ConfigVersion, objects: ObjectSet) {
-        let adopted = self.current.send_if_modified(|current| {
+    fn activate(&self, version: ConfigVersion, objects: ObjectSet) {
+        let activated = self.current.send_if_modified(|current| {
             let newer = version > current.version();
             if newer {
                 *current = Arc::new(ConfigSnapshot::new(version, objects));
             }
             newer
         });
-        if adopted {
+        if activated {
             self.metrics.config_version.set(i64::try_from(version).unwrap_or(i64::MAX));
             info!("event=config_adopted version={version}");
         }
     }
 }
 
-impl ConfigWatcher for Follower {
+impl ConfigWatcher for ConfigFollower {
     fn current(&self) -> Arc<ConfigSnapshot> {
         Self::current(self)
     }
 
     fn on_newer_version(&self, newer: NewerConfig) {
-        *self.newer_peer.borrow_mut() = Some(newer);
-        self.peer_has_newer.notify_one();
+        *self.newer_config.borrow_mut() = Some(newer);
+        self.newer_config_reported.notify_one();
     }
 }
--- a/crates/daemon/src/version/mod.rs
+++ b/crates/daemon/src/version/mod.rs
@@ -1,5 +1,5 @@
-//! State with the lifetime of one published configuration, and the switch to the next one.
+//! The active configuration and the switch to newer versions.
 
 mod follower;
 
-pub use follower::Follower;
+pub use follower::ConfigFollower;
