--- a/crates/coordination/src/limits/escrow/moves.rs
+++ b/crates/coordination/src/limits/escrow/moves.rs
@@ -1,20 +1,20 @@
-//! Transfer of shares between holders: surplus shares, shares of lost members, and all shares of a
-//! node at a planned stop.
+//! Transfer of shares between holders: surplus shares, shares of fenced members, and all shares of
+//! a node before a planned stop.
 
 use std::time::Duration;
 
 use log::{debug, info};
 
-use super::{Escrow, KnownRow, parse_row};
+use super::{KnownRow, ShareLimiter, parse_row};
 use crate::config::ConfigSnapshot;
 use crate::ids::{IncarnationId, TeamId};
 use crate::limits::shares::{holder_count, preferred_holders};
 use crate::members::Member;
 use crate::platform::{PlatformResult, Table, scan_all};
 
-impl Escrow {
-    /// Transfers this node's surplus shares to other holders after a burst was lowered.
-    pub(super) async fn merge_shares(
+impl ShareLimiter {
+    /// Transfers this node's surplus shares, which arise when a burst is lowered, to other holders.
+    pub(super) async fn transfer_surplus_shares(
         &self,
         config: &ConfigSnapshot,
         members: &[Member],
@@ -29,7 +29,7 @@
     }
 
     /// Notifies `recipient` of a transferred share. If the message is lost, the next token request
-    /// to it has the same effect.
+    /// also makes the recipient reload the row.
     async fn notify_recipient(&self, recipient: &str, team: &TeamId, members: &[Member]) {
         let version = self.rows.borrow().get(team).map_or(0, |known| known.version);
         if let Some(member) = members.iter().find(|member| member.id == recipient)
@@ -54,46 +54,48 @@
         surplus.collect()
     }
 
-    /// Transfers the shares of lost members to this node once they can no longer be spent.
+    /// Transfers the shares of fenced members to this node after their leases have expired.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be read or written; the next call continues.
+    /// Fails when the platform cannot be read or written; the call can be repeated.
     pub async fn reclaim(&self, members: &[Member]) -> PlatformResult<()> {
         let now = self.clock.monotonic();
         self.lost_members.observe(members, now);
         let own_id = self.incarnation.id();
-        let due = self.lost_members.due(own_id, members, &self.heartbeats, now);
-        if due.is_empty() {
+        let reclaimable = self.lost_members.reclaimable_by(own_id, members, &self.heartbeats, now);
+        if reclaimable.is_empty() {
             return Ok(());
         }
         let mut complete = true;
         for row in scan_all(&*self.table, Table::Limits, "", "").await? {
             let (team, known) = parse_row(row)?;
-            let mut lost = due.iter().filter(|holder| known.row.share(holder).is_some());
-            let Some(holder) = lost.next() else { continue };
-            // Only one share per row is transferred; the next call finds the rest.
-            complete &= lost.next().is_none();
+            let mut holders = reclaimable.iter().filter(|holder| known.row.share(holder).is_some());
+            let Some(holder) = holders.next() else { continue };
+            // Each call transfers at most one share per row; the next call finds the rest.
+            complete &= holders.next().is_none();
             info!("event=limit_reclaimed team={team} from={holder}");
             complete &= self.transfer(&team, known.clone(), holder, own_id).await?;
         }
         if complete {
-            self.lost_members.mark_reclaimed(due);
+            self.lost_members.mark_reclaimed(reclaimable);
         }
         Ok(())
     }
 
-    /// Returns fenced members that have been lost for at least `age`.
+    /// Returns the members that this node has seen as fenced for at least `age`.
     #[must_use]
-    pub fn lost_for(&self, age: Duration, members: &[Member]) -> Vec<IncarnationId> {
-        self.lost_members.lost_for(age, members, self.clock.monotonic())
+    pub fn fenced_for(&self, age: Duration, members: &[Member]) -> Vec<IncarnationId> {
+        self.lost_members.fenced_for(age, members, self.clock.monotonic())
     }
 
-    /// Transfers all shares to other nodes before a planned stop; this node spends no more tokens.
+    /// Stops spending and transfers this node's shares to other live nodes before a planned stop.
+    ///
+    /// A share stays with this node if its row changes meanwhile or no other node is live.
     ///
     /// # Errors
     ///
-    /// Fails when the platform cannot be written; the next call continues.
+    /// Fails when the platform cannot be read or written; the call can be repeated.
     pub async fn hand_over(&self, members: &[Member]) -> PlatformResult<()> {
         self.handed_over.set(true);
         self.buckets.borrow_mut().clear();
@@ -118,6 +120,6 @@
     ) -> PlatformResult<bool> {
         let mut row = known.row;
         row.transfer(from, to);
-        self.write(team, known.version, row).await
+        self.write_row(team, known.version, row).await
     }
 }
--- a/crates/coordination/src/limits/reclaim.rs
+++ b/crates/coordination/src/limits/reclaim.rs
@@ -1,4 +1,4 @@
-//! Decision when the limit shares of a lost member may be reclaimed.
+//! Decides when the limit shares of a fenced member may be reclaimed.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -8,10 +8,10 @@
 use crate::ids::IncarnationId;
 use crate::members::{Member, MemberState};
 
-/// Allowance for clock drift between nodes.
+/// Margin for clock drift between nodes during a lease.
 const DRIFT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Members that are fenced or removed, with the time when this node noticed it.
+/// Fenced or removed members, with the time at which this node first saw them as such.
 #[derive(Debug, Default)]
 pub(super) struct LostMembers {
     since: RefCell<HashMap<IncarnationId, Duration>>,
@@ -19,20 +19,21 @@
 }
 
 impl LostMembers {
-    /// Records the time at which members became fenced, and reclaimers fenced or removed.
+    /// Records `now` for members newly seen as fenced and for reclaimers newly seen as fenced or
+    /// removed.
     pub fn observe(&self, members: &[Member], now: Duration) {
         let mut since = self.since.borrow_mut();
-        let named = members.iter().filter_map(|member| member.reclaimer.as_ref());
-        for id in members.iter().map(|member| &member.id).chain(named) {
-            let known = members.iter().find(|member| member.id == *id);
-            if known.is_none_or(|member| member.state == MemberState::Fenced) {
+        let reclaimers = members.iter().filter_map(|member| member.reclaimer.as_ref());
+        for id in members.iter().map(|member| &member.id).chain(reclaimers) {
+            let member = members.iter().find(|member| member.id == *id);
+            if member.is_none_or(|member| member.state == MemberState::Fenced) {
                 since.entry(id.clone()).or_insert(now);
             }
         }
     }
 
     /// Returns the fenced members whose shares `own_id` must reclaim now.
-    pub fn due(
+    pub fn reclaimable_by(
         &self,
         own_id: &str,
         members: &[Member],
@@ -40,8 +41,8 @@
         now: Duration,
     ) -> Vec<IncarnationId> {
         let fenced = members.iter().filter(|member| member.state == MemberState::Fenced);
-        let open = fenced.filter(|member| !self.reclaimed.borrow().contains(&member.id));
-        let due = open.filter(|member| {
+        let not_reclaimed = fenced.filter(|member| !self.reclaimed.borrow().contains(&member.id));
+        let reclaimable = not_reclaimed.filter(|member| {
             self.is_reclaimable(
                 own_id,
                 member,
@@ -50,7 +51,7 @@
                 now,
             )
         });
-        due.map(|member| member.id.clone()).collect()
+        reclaimable.map(|member| member.id.clone()).collect()
     }
 
     /// Records that no row contains shares of these members any more.
@@ -58,8 +59,13 @@
         self.reclaimed.borrow_mut().extend(members);
     }
 
-    /// Returns fenced members that have been lost for at least `age`.
-    pub fn lost_for(&self, age: Duration, members: &[Member], now: Duration) -> Vec<IncarnationId> {
+    /// Returns the members that this node has seen as fenced for at least `age`.
+    pub fn fenced_for(
+        &self,
+        age: Duration,
+        members: &[Member],
+        now: Duration,
+    ) -> Vec<IncarnationId> {
         let since = self.since.borrow();
         let old = |id: &str| since.get(id).is_some_and(|since| now >= *since + age);
         let fenced = members.iter().filter(|member| member.state == MemberState::Fenced);
@@ -68,11 +74,12 @@
 
     /// Returns whether `own_id` must reclaim the shares of a fenced member now.
     ///
-    /// A holder spends tokens only for a limited time after it read from the table that it is not
-    /// fenced, or after its reclaimer promised not to reclaim its shares. As long as the reclaimer
-    /// is live, only the reclaimer reclaims them, after its last promise has expired. If the
-    /// reclaimer is lost too, the live member with the lowest id does, after both have been lost
-    /// for longer than a promise lasts.
+    /// A member spends its shares only during its lease, which it extends by reading from the table
+    /// that it is not fenced and by heartbeat replies from its reclaimer. Its shares may be
+    /// reclaimed after it has been fenced for longer than a lease. As long as the reclaimer is
+    /// live, only the reclaimer may do so, after the last lease that it granted has expired. If
+    /// there is no reclaimer, or if the reclaimer has been fenced or removed for longer than a
+    /// lease too, the live member with the lowest id reclaims the shares.
     fn is_reclaimable(
         &self,
         own_id: &str,
@@ -89,15 +96,15 @@
         match member.reclaimer.as_deref() {
             Some(reclaimer) if reclaimer == own_id => lease_granted_at.is_none_or(has_expired),
             Some(reclaimer) => {
-                lost_since(reclaimer).is_some_and(has_expired) && is_first_live(own_id, members)
+                lost_since(reclaimer).is_some_and(has_expired) && is_lowest_live_id(own_id, members)
             }
-            None => is_first_live(own_id, members),
+            None => is_lowest_live_id(own_id, members),
         }
     }
 }
 
 /// Returns whether `own_id` is the live member with the lowest id.
-fn is_first_live(own_id: &str, members: &[Member]) -> bool {
+fn is_lowest_live_id(own_id: &str, members: &[Member]) -> bool {
     let live = members.iter().filter(|member| member.state == MemberState::Live);
     live.map(|member| member.id.as_str()).min() == Some(own_id)
 }
--- a/crates/coordination/src/limits/shares.rs
+++ b/crates/coordination/src/limits/shares.rs
@@ -8,11 +8,12 @@
 use crate::ids::IncarnationId;
 use crate::members::{Member, MemberState};
 
-/// Number of parts that make up a whole limit.
-pub const WHOLE_PARTS: u32 = 1024;
-/// Minimum burst tokens per holder; a smaller burst is split over fewer holders.
+/// Number of parts that a limit is divided into.
+pub const PARTS_PER_LIMIT: u32 = 1024;
+/// Burst tokens per holder before the number of holders is rounded up to a power of two; a smaller
+/// burst has fewer holders.
 const BURST_PER_HOLDER: u32 = 16;
-/// Maximum number of holders of one limit.
+/// Maximum number of holders of one limit; a request may ask all of them for a token.
 const HOLDERS_MAX: u32 = 4;
 
 /// Share of a limit that one node may spend.
@@ -20,13 +21,13 @@
 pub struct Share {
     /// Incarnation that may spend the share.
     pub holder: IncarnationId,
-    /// Size of the share in parts; a whole limit has [`WHOLE_PARTS`].
+    /// Size of the share in parts; the limit has [`PARTS_PER_LIMIT`].
     pub parts: u32,
     /// Whether the share comes from the initial split; only such a share starts full.
     pub original: bool,
 }
 
-/// Value of a limit row; the shares add up to at most [`WHOLE_PARTS`].
+/// Value of a limit row; the shares add up to at most [`PARTS_PER_LIMIT`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRow {
     /// Shares of the holders.
@@ -34,14 +35,14 @@
 }
 
 impl LimitRow {
-    /// Splits a whole limit evenly over `holders`.
+    /// Divides a limit evenly among `holders`; the first also gets the remainder.
     #[must_use]
     pub fn split(holders: &[IncarnationId]) -> Self {
         let count = u32::try_from(holders.len()).unwrap_or(u32::MAX).max(1);
-        let remainder = WHOLE_PARTS % count;
+        let remainder = PARTS_PER_LIMIT % count;
         let shares = holders.iter().enumerate().map(|(position, holder)| Share {
             holder: holder.clone(),
-            parts: WHOLE_PARTS / count + if position == 0 { remainder } else { 0 },
+            parts: PARTS_PER_LIMIT / count + if position == 0 { remainder } else { 0 },
             original: true,
         });
         Self { shares: shares.collect() }
@@ -59,7 +60,8 @@
         self.shares.iter().map(|share| share.parts).sum()
     }
 
-    /// Returns the recipient of the share of `holder` if only the first `count` shares are kept.
+    /// Returns the recipient of the share of `holder` when only the first `count` shares are kept,
+    /// or `None` if that share is kept or does not exist.
     #[must_use]
     pub fn surplus_recipient(&self, holder: &str, count: usize) -> Option<&IncarnationId> {
         let position = self.shares.iter().position(|share| share.holder == holder)?;
@@ -82,20 +84,21 @@
 /// Returns the rate and burst of a share of `limit` with the given `parts`.
 #[must_use]
 pub fn share_limits(limit: &Limit, parts: u32) -> BucketLimits {
-    let fraction = f64::from(parts) / f64::from(WHOLE_PARTS);
+    let fraction = f64::from(parts) / f64::from(PARTS_PER_LIMIT);
     BucketLimits {
         rate_per_s: limit.rate_per_s * fraction,
         burst: f64::from(limit.burst) * fraction,
     }
 }
 
-/// Returns the number of nodes that share a limit.
+/// Returns the number of holders among which a limit is divided, a power of two.
 #[must_use]
 pub fn holder_count(limit: &Limit) -> usize {
     (limit.burst / BURST_PER_HOLDER).clamp(1, HOLDERS_MAX).next_power_of_two() as usize
 }
 
-/// Returns the live members by preference as holders of a team's limit, best first.
+/// Returns the live members in order of preference as holders of a team's limit, by rendezvous
+/// hashing.
 #[must_use]
 pub fn preferred_holders(members: &[Member], team: &str) -> Vec<IncarnationId> {
     let live = members.iter().filter(|member| member.state == MemberState::Live);
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -254,7 +254,7 @@
 }
 
 fn unexpected_owner_reply() -> Refusal {
-    Refusal::unknown(
+    Refusal::may_have_run(
         RefusalKind::OwnerUnreachable,
         "the owner gave an answer of another version; finish the upgrade of all nodes and repeat",
     )
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -299,7 +299,7 @@
 }
 
 fn interrupted() -> Refusal {
-    Refusal::unknown(
+    Refusal::may_have_run(
         RefusalKind::BackendFailed,
         "the stream was interrupted and could not be continued; repeat the call with the same \
          Idempotency-Key to get the recorded answer",
