--- a/crates/coordination/src/config/publish.rs
+++ b/crates/coordination/src/config/publish.rs
@@ -127,7 +127,7 @@
     pub async fn publish(
         &self,
         publication: &Publication,
-        current: &ObjectSet,
+        base_objects: &ObjectSet,
         now: Duration,
     ) -> Result<VersionRow, PublishError> {
         let problems = check(&publication.objects);
@@ -135,7 +135,7 @@
             return Err(PublishError::Invalid { problems });
         }
         let platform_error = |source| PublishError::Platform { source };
-        let mut row = version_row(publication, current, now);
+        let mut row = version_row(publication, base_objects, now);
         loop {
             let (head_version, head) =
                 read_head(&*self.platform.table).await.map_err(platform_error)?;
@@ -236,11 +236,11 @@
 
     async fn full_set(
         &self,
-        above: ConfigVersion,
+        from: ConfigVersion,
         to: ConfigVersion,
     ) -> PlatformResult<Option<(ConfigVersion, ObjectSet)>> {
         let full_version = to - to % FULL_SET_INTERVAL;
-        if full_version <= above {
+        if full_version <= from {
             return Ok(None);
         }
         let row = self.row(full_version).await?;
@@ -328,8 +328,8 @@
     }
 }
 
-fn version_row(publication: &Publication, current: &ObjectSet, now: Duration) -> VersionRow {
-    let changes = current.diff(&publication.objects);
+fn version_row(publication: &Publication, base_objects: &ObjectSet, now: Duration) -> VersionRow {
+    let changes = base_objects.diff(&publication.objects);
     VersionRow {
         version: publication.base_version + 1,
         digest: publication.objects.digest(),
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -201,7 +201,7 @@
     /// Returns whether each shard of the region has its preferred owner and [`Escrow::prepare`] is
     /// complete for `version`.
     #[must_use]
-    pub fn is_settled(&self, version: ConfigVersion) -> bool {
+    pub fn is_converged(&self, version: ConfigVersion) -> bool {
         self.shards_reconciled.get() && self.prepared_version.get() == version
     }
 
@@ -323,7 +323,7 @@
         }
         self.heartbeats.extend_share_lease(started_at + SHARE_LEASE);
         if changed {
-            self.journal.set_region_commit_interval(self.commit_interval());
+            self.journal.set_region_commit_interval(self.region_commit_interval());
             self.shards_reconciled.set(false);
             self.membership.assign_reclaimer().await?;
         }
@@ -341,12 +341,12 @@
     }
 
     /// Returns the interval between commits that keeps the region within its write rate.
-    fn commit_interval(&self) -> Duration {
+    fn region_commit_interval(&self) -> Duration {
         let region = self.membership.own_member().region;
         let members = self.membership.members();
-        let not_fenced =
+        let is_unfenced_in_region =
             |member: &&Member| member.region == region && member.state != MemberState::Fenced;
-        let count = members.iter().filter(not_fenced).count();
+        let count = members.iter().filter(is_unfenced_in_region).count();
         let nodes = u32::try_from(count).unwrap_or(u32::MAX);
         Duration::from_secs(1) * nodes / self.settings.region_writes_per_s.max(1)
     }
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -11,16 +11,16 @@
 use crate::refusal::Refusal;
 
 impl Owner {
-    /// Records the end of an attempt, calls `on_recorded`, and closes the feed.
+    /// Records the end of an attempt, calls `on_commit_end`, and closes the feed.
     ///
-    /// `on_recorded` is not called if there is nothing to record or the commit times out. It is
+    /// `on_commit_end` is not called if there is nothing to record or the commit times out. It is
     /// called, however, if the commit fails because the node was fenced.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
         request: &CallRequest,
         end: AttemptEnd,
-        on_recorded: impl FnOnce(),
+        on_commit_end: impl FnOnce(),
     ) {
         let (record, outcome) = Self::end_record(ticket, request, end);
         if outcome.is_err() {
@@ -29,7 +29,7 @@
         if let Some(record) = record {
             let mut records = vec![record];
             records.extend(self.closing_record(request, &outcome));
-            self.record_end(ticket, records, outcome, on_recorded).await;
+            self.record_end(ticket, records, outcome, on_commit_end).await;
         } else {
             ticket.feed.close(outcome);
         }
@@ -43,13 +43,13 @@
         ticket: &CallTicket,
         records: Vec<Record>,
         outcome: Result<Answer, Refusal>,
-        on_recorded: impl FnOnce(),
+        on_commit_end: impl FnOnce(),
     ) {
         let commit = std::pin::pin!(self.wait_committed(self.append(&ticket.program, records)));
         let timeout = self.clock.sleep(self.settings.end_commit_wait);
         match select(commit, timeout).await {
             Either::Left((committed, _)) => {
-                on_recorded();
+                on_commit_end();
                 ticket.feed.close(committed.and(outcome));
             }
             Either::Right(((), commit)) => {
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -162,7 +162,7 @@
             return Decision::Refuse(Refusal::program_unknown());
         }
         if let Some(call) = self.calls.get(&request.sequence) {
-            return self.decide_known(call, request, digest);
+            return self.decide_existing(call, request, digest);
         }
         if let Some(refusal) = self.refuse_new(request) {
             return Decision::Refuse(refusal);
@@ -180,7 +180,7 @@
         self.budget_tokens.map(|budget| budget.saturating_sub(self.spent_tokens))
     }
 
-    fn decide_known(&self, call: &Call, request: &CallRequest, digest: &str) -> Decision {
+    fn decide_existing(&self, call: &Call, request: &CallRequest, digest: &str) -> Decision {
         if call.key.idempotency_key != request.idempotency_key {
             // The known call has no answer, so another request may take its sequence.
             if matches!(call.phase, CallPhase::Open) && self.closed.is_none() {
--- a/crates/coordination/src/rows.rs
+++ b/crates/coordination/src/rows.rs
@@ -111,8 +111,8 @@
 /// A shared handle to the store.
 pub type SharedRowStore = Rc<dyn RowStore>;
 
-/// Returns the partition of `key` in a table with `parts` partitions.
+/// Returns the partition of `key` in a table with `part_count` partitions.
 #[must_use]
-pub fn part_of(key: &str, parts: u64) -> String {
-    format!("{:02x}", xxhash_rust::xxh3::xxh3_64(key.as_bytes()) % parts.max(1))
+pub fn part_of(key: &str, part_count: u64) -> String {
+    format!("{:02x}", xxhash_rust::xxh3::xxh3_64(key.as_bytes()) % part_count.max(1))
 }
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -137,7 +137,7 @@
     ) -> PlatformResult<bool> {
         let rows = self.read_rows().await?;
         let own_id = self.incarnation.id();
-        let mut settled = true;
+        let mut converged = true;
         let mut claims = Vec::new();
         for shard in 0..self.shard_count {
             let preferred = assignment(shard);
@@ -154,16 +154,16 @@
             if !is_owned && (is_own_row || wanted && is_claimable) {
                 claims.push((shard, version, row));
             } else if row.owner != preferred {
-                settled = false;
+                converged = false;
             }
         }
         self.update_owners(&rows);
         for batch in claims.chunks(TRANSACTION_ROWS_MAX) {
-            settled &= self.claim(batch).await?;
+            converged &= self.claim(batch).await?;
         }
         self.recover_claimed().await?;
-        settled &= self.release_drained().await?;
-        Ok(settled)
+        converged &= self.release_drained().await?;
+        Ok(converged)
     }
 
     /// Marks all owned shards for release, for a graceful shutdown.
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -46,7 +46,7 @@
             zone: identity.zone,
             draining,
             config_version,
-            settled: node.is_settled(config_version),
+            settled: node.is_converged(config_version),
             shards: node.shards().serving().len(),
             programs: node.owner().program_count(),
             head_age_ms: node
