--- a/crates/coordination/src/config/files.rs
+++ b/crates/coordination/src/config/files.rs
@@ -52,6 +52,7 @@
                 return self.report(Some(position), file, error.message());
             }
         };
+        // `DeTable` provides the positions, `toml::Table` the values to deserialize.
         let values: toml::Table = toml::from_str(text).unwrap_or_default();
         for (kind, names) in table.get_ref() {
             let kind_position = position(file, text, kind.span().start);
--- a/crates/coordination/src/config/publish.rs
+++ b/crates/coordination/src/config/publish.rs
@@ -19,8 +19,8 @@
 
 /// Changes larger than this are stored in the object store.
 const INLINE_MAX_BYTES: usize = 64 * 1024;
-/// The complete set is stored with every version that is a multiple of this, which bounds the
-/// number of changes that [`ConfigStore::catch_up`] applies.
+/// The complete set is stored with every version that is a multiple of this, so that
+/// [`ConfigStore::catch_up`] normally applies the changes of at most this many versions.
 const FULL_SET_INTERVAL: u64 = 64;
 
 /// Value of a configuration row.
@@ -89,7 +89,7 @@
          publish again"
     ))]
     Conflict {
-        /// Version in force.
+        /// Newest published version.
         version: ConfigVersion,
         /// Author of that version.
         author: String,
@@ -119,7 +119,8 @@
 
     /// Publishes a set as the version after its base version and returns the row of that version.
     ///
-    /// Returns the existing row if the same publication was already accepted.
+    /// `base_objects` is the set of the base version. Returns the existing row if the same
+    /// publication was already accepted.
     ///
     /// # Errors
     ///
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Returns `from`, a version with its objects, updated to version `to`.
+    /// Updates the objects of a version, given as `from`, to version `to`.
     ///
     /// The result holds the version, its objects, and the rows of the versions whose changes were
     /// applied. Versions skipped by loading a complete set have no row in it.
@@ -234,6 +235,8 @@
         Ok(next)
     }
 
+    /// Returns the complete set of the last multiple of [`FULL_SET_INTERVAL`] up to `to`, if it is
+    /// after `from` and its set is stored.
     async fn full_set(
         &self,
         from: ConfigVersion,
--- a/crates/coordination/src/detector.rs
+++ b/crates/coordination/src/detector.rs
@@ -76,10 +76,11 @@
         self.last_heartbeats.insert(member.to_owned(), now);
     }
 
-    /// Sets the members that this node observes; the silence of new ones is measured from `now`.
+    /// Sets the members that this node observes; new ones are treated as if they had sent a
+    /// heartbeat at `now`.
     ///
     /// If more than two heartbeat intervals have passed since the last call, this node itself was
-    /// paused and may have missed heartbeats, so the silence of all members is measured from `now`.
+    /// paused and may have missed heartbeats, so all members are treated this way.
     pub fn set_observed(&mut self, observed: &[IncarnationId], now: Duration) {
         let paused = now.saturating_sub(self.last_update) > self.settings.interval * 2;
         self.last_update = now;
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -13,7 +13,7 @@
     pub data: Vec<u8>,
 }
 
-/// Maximum size of an incomplete event in the buffer; events of the engines are under a kilobyte.
+/// Maximum size of an incomplete event in the buffer; events of model engines are below 1 kB.
 const EVENT_MAX_BYTES: usize = 1024 * 1024;
 
 /// Splits the bytes of a stream into complete events.
--- a/crates/coordination/src/heartbeat.rs
+++ b/crates/coordination/src/heartbeat.rs
@@ -16,7 +16,8 @@
 
 /// Duration of the lease on a node's limit shares, which are not reclaimed before it has expired.
 ///
-/// A heartbeat reply from the node's reclaimer and a successful membership poll grant the lease.
+/// The lease is renewed by each heartbeat reply from the node's reclaimer and by each successful
+/// membership poll.
 pub const SHARE_LEASE: Duration = Duration::from_secs(3);
 
 /// Newer configuration reported by a peer.
@@ -158,6 +159,8 @@
         self.sent.set(self.sent.get() + 1);
         match self.peers.heartbeat(&observer.peer_address, heartbeat).await {
             Ok(reply) => {
+                // Only the reclaimer waits for the lease that it granted to expire, so the leases
+                // granted by other observers are ignored.
                 if own.reclaimer.as_deref() == Some(&reply.from) {
                     // The lease starts at the send time, so that it expires here before the peer
                     // that granted it considers it expired.
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -7,7 +7,7 @@
 pub type TeamId = String;
 /// Identifier of one incarnation of a node; a restart or a fencing starts a new incarnation.
 pub type IncarnationId = String;
-/// Index of a shard, less than the shard count of the fleet.
+/// Index of a shard within its region, less than the shard count.
 pub type ShardId = u16;
 /// Id of a program: `prg-{region}-{shard:04x}-{unique:032x}`.
 pub type ProgramId = String;
--- a/crates/coordination/src/journal.rs
+++ b/crates/coordination/src/journal.rs
@@ -92,6 +92,7 @@
     pending: RefCell<Vec<PendingAppend>>,
     commit_requested: Notify,
     in_flight: Cell<bool>,
+    /// Whether [`Journal::run`] takes the next batch without waiting for a commit request.
     commit_due: Cell<bool>,
     stalled: Cell<bool>,
     next_number: Cell<CommitNumber>,
@@ -194,9 +195,8 @@
         }
     }
 
-    /// Sets the commit interval that keeps the region within its write rate.
-    ///
-    /// The longer of it and [`JournalSettings::commit_interval`] applies.
+    /// Sets the minimum commit interval that keeps the region within its write rate; it applies if
+    /// it is longer than [`JournalSettings::commit_interval`].
     pub fn set_region_commit_interval(&self, region_commit_interval: Duration) {
         self.region_commit_interval.set(region_commit_interval);
     }
--- a/crates/coordination/src/members.rs
+++ b/crates/coordination/src/members.rs
@@ -87,8 +87,8 @@
 }
 
 impl ShardRow {
-    /// Returns whether the checkpoint covers all commits before `next`, the number of the next
-    /// commit.
+    /// Returns whether replay would start at `next`, the number of the owner's next commit, so that
+    /// no new checkpoint is needed.
     #[must_use]
     pub fn is_checkpointed_at(&self, next: CommitNumber) -> bool {
         matches!(&self.segments[..], [segment] if segment.first_commit == next)
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Returns this node's own member row as last read or written, or as it is being written.
+    /// Returns this node's own member row as last read or written; [`Self::announce_leaving`]
+    /// changes it before the write.
     #[must_use]
     pub fn own_member(&self) -> Member {
         self.own_member.borrow().clone()
@@ -128,7 +129,7 @@
     /// Marks `target` as fenced, so that it cannot commit anything more.
     ///
     /// Returns whether the member is now fenced or already removed. Fencing is rate limited, so
-    /// that a network partition cannot cause most of the fleet to be fenced.
+    /// that a short network partition cannot cause most of the fleet to be fenced.
     ///
     /// # Errors
     ///
@@ -240,6 +241,8 @@
         match (own, row_versions.get(own_id)) {
             (Some(own), Some(version)) if own.state != MemberState::Fenced => {
                 self.incarnation.set_row_version(*version);
+                // `announce_leaving` changes the state before the row is written, so the row read
+                // may still have the previous state.
                 if self.own_member.borrow().state == own.state {
                     *self.own_member.borrow_mut() = own.clone();
                 }
@@ -257,8 +260,8 @@
     /// committed.
     ///
     /// For a write that fences another member, `unfenced_count` is the number of unfenced members.
-    /// Such a write is rate limited and does not commit if this node's own row has changed, which
-    /// includes that this node was fenced.
+    /// Such a write is rate limited, and it does not commit if this node's own row has changed, for
+    /// example because this node was fenced.
     async fn write_member(
         &self,
         member: &Member,
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -24,7 +24,7 @@
 use crate::platform::{Platform, PlatformResult};
 use crate::shards::Shards;
 
-/// Time after which the row of a fenced member is deleted.
+/// Minimum time for which the row of a fenced member is kept.
 const FENCED_ROW_AGE: Duration = Duration::from_secs(120);
 
 /// Settings of a node.
--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -11,10 +11,10 @@
 use crate::refusal::Refusal;
 
 impl Owner {
-    /// Records the end of an attempt, calls `on_commit_end`, and closes the feed.
+    /// Records the end of an attempt and closes the feed.
     ///
-    /// `on_commit_end` is not called if there is nothing to record or the commit times out. It is
-    /// called, however, if the commit fails because the node was fenced.
+    /// Calls `on_commit_end` before closing the feed if the commit succeeds, or fails because the
+    /// node was fenced, within `end_commit_wait`. Does not call it if there is nothing to record.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
@@ -23,6 +23,7 @@
         on_commit_end: impl FnOnce(),
     ) {
         let (record, outcome) = Self::end_record(ticket, request, end);
+        // An end without an answer is always marked, even if nothing was sent.
         if outcome.is_err() {
             self.mark_unrecorded_backends(&ticket.program);
         }
@@ -53,8 +54,8 @@
                 ticket.feed.close(committed.and(outcome));
             }
             Either::Right(((), commit)) => {
-                // The call stays marked as running until the commit, so that a retry gets this
-                // refusal at once and the recorded answer later.
+                // The call stays marked as running until the commit ends: a retry before that joins
+                // the closed feed and gets the refusal at once, a later one the recorded answer.
                 ticket.feed.close(Err(unrecorded_end(outcome)));
                 let _ = commit.await;
             }
--- a/crates/coordination/src/owner/mod.rs
+++ b/crates/coordination/src/owner/mod.rs
@@ -33,7 +33,8 @@
     }
 }
 
-/// Next step of an admission; a wait ends when the program changes or at the given time.
+/// Next step of an admission; `Wait` ends when the program changes or at the given monotonic time,
+/// if there is one.
 enum Step {
     Run { attempt: u32 },
     Recorded(StoredAnswer),
@@ -129,8 +130,7 @@
         self.table.unreleased()
     }
 
-    /// Notes that a backend server may hold cached state of a program although no answer of that
-    /// backend server is recorded.
+    /// Notes that backend servers without a recorded answer may hold cached state for the program.
     pub fn mark_unrecorded_backends(&self, program: &str) {
         self.table.update(program, |owned| owned.has_unrecorded_backends = true);
     }
--- a/crates/coordination/src/owner/table.rs
+++ b/crates/coordination/src/owner/table.rs
@@ -14,7 +14,7 @@
 use crate::record::{CallKey, Record};
 use crate::refusal::{Refusal, RefusalKind};
 
-/// Call in flight, and its reservation until the start is recorded.
+/// Call in flight.
 #[derive(Debug)]
 pub(super) struct RunningCall {
     /// Identity of the call and the attempt.
@@ -34,7 +34,8 @@
     pub running: Option<RunningCall>,
     /// Notified of each committed record and of the end of the running call.
     pub changed: Rc<Notify>,
-    /// Monotonic time before which no call may start, because a previous owner may still send one.
+    /// Monotonic time before which no call may start, because the previous owner may still send the
+    /// attempt that it started.
     pub blocked_until: Option<Duration>,
     /// Whether backend servers other than those with recorded answers may hold cached state for the
     /// program.
--- a/crates/coordination/src/owner/types.rs
+++ b/crates/coordination/src/owner/types.rs
@@ -47,7 +47,8 @@
     /// Monotonic time after which nothing may be sent to a backend server; `None` if the start is
     /// not recorded.
     pub dispatch_deadline: Option<Duration>,
-    /// Tokens reserved for the attempt.
+    /// Maximum number of tokens that the attempt can spend; reserved if a budget applies or the
+    /// start is recorded.
     pub reserved_tokens: u64,
     /// Incarnation that admitted the call; only this one may record its end.
     pub incarnation: IncarnationId,
--- a/crates/coordination/src/peers.rs
+++ b/crates/coordination/src/peers.rs
@@ -40,8 +40,8 @@
         /// Time until a token becomes available.
         wait_ms: u64,
     },
-    /// The node holds no share of the team's limit that allows a token, or its lease on the share
-    /// has expired.
+    /// The node's share of the team's limit is missing or too small for a token, or its lease on
+    /// the share has expired.
     NotHolder,
 }
 
@@ -108,7 +108,8 @@
         row_version: u64,
     ) -> Result<TakeReply, PeerError>;
 
-    /// Notifies the peer that it received a share of a team's limit.
+    /// Notifies the peer that it received a share of a team's limit; `row_version` is the version
+    /// of the team's limit row known to the caller.
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/platform.rs
+++ b/crates/coordination/src/platform.rs
@@ -21,7 +21,7 @@
     Journal,
     /// One row per configuration version.
     Configs,
-    /// One row per team, with the split of its limit among the holders.
+    /// One row per team, with the shares of its limit that the nodes hold.
     Limits,
 }
 
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -182,7 +182,8 @@
 
     fn decide_existing(&self, call: &Call, request: &CallRequest, digest: &str) -> Decision {
         if call.key.idempotency_key != request.idempotency_key {
-            // The known call has no answer, so another request may take its sequence.
+            // The existing call's last attempt ended without an answer, so another call may take
+            // its sequence.
             if matches!(call.phase, CallPhase::Open) && self.closed.is_none() {
                 return Decision::Run { attempt: call.key.attempt + 1 };
             }
@@ -231,7 +232,7 @@
 }
 
 impl Call {
-    /// Returns whether later calls of the program may run.
+    /// Returns whether the call has an answer or is in doubt, so that the next call may run.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         matches!(self.phase, CallPhase::Finished { .. } | CallPhase::InDoubt)
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -80,7 +80,8 @@
     Started {
         /// Identity of the call and the attempt.
         call: CallKey,
-        /// Tokens charged until the outcome is known.
+        /// Tokens charged until the attempt is recorded as finished, cancelled or failed; they stay
+        /// charged if it is in doubt.
         reserved_tokens: u64,
     },
     /// An attempt finished with an answer.
--- a/crates/coordination/src/shards.rs
+++ b/crates/coordination/src/shards.rs
@@ -122,7 +122,7 @@
     }
 
     /// Claims and releases shards to match `assignment`; returns whether every shard of the region
-    /// now has its preferred owner.
+    /// now has its preferred owner, without checking the shards that this call claimed.
     ///
     /// `assignment` returns the preferred owner of a shard. `is_lost` returns whether an
     /// incarnation was fenced or removed, so that its shards can be claimed.
@@ -228,7 +228,7 @@
         Ok(parsed)
     }
 
-    /// Updates an owned shard from its row; returns whether this node owned the shard.
+    /// Updates an owned shard from its row; returns whether the shard is in `owned`.
     ///
     /// Until the owner is fenced, only the owner writes the row. A row that no longer names this
     /// node is therefore taken to mean that this node was fenced, unless its version is lower than
@@ -450,8 +450,8 @@
         if self.platform.table.transact(&transaction).await? == TransactionOutcome::Conflict {
             warn!("event=release_conflict shards={}", batch.len());
         }
-        // Only the owner writes these rows until it is fenced, so a conflict means that this node
-        // no longer owns the shards either.
+        // Only the owner writes these rows until it is fenced, so this node does not own the shards
+        // after a conflict, just as after a commit.
         for shard in batch {
             self.owned.borrow_mut().remove(shard);
             self.owners.borrow_mut().remove(shard);
