--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -11,25 +11,26 @@
 use crate::refusal::Refusal;
 
 impl Owner {
-    /// Records the end of an attempt, calls `on_recorded`, and closes the feed.
+    /// Records the end of an attempt and closes the feed.
     ///
-    /// `on_recorded` is not called if there is nothing to record or the commit times out. It is
-    /// called, however, if the commit fails because the node was fenced.
+    /// Calls `on_commit_end` before closing the feed if the commit succeeds, or fails because the
+    /// node was fenced, within `end_commit_wait`. Does not call it if there is nothing to record.
     pub async fn finish(
         &self,
         ticket: &CallTicket,
         request: &CallRequest,
         end: AttemptEnd,
-        on_recorded: impl FnOnce(),
+        on_commit_end: impl FnOnce(),
     ) {
         let (record, outcome) = Self::end_record(ticket, request, end);
+        // An end without an answer is always marked, even if nothing was sent.
         if outcome.is_err() {
             self.mark_unrecorded_backends(&ticket.program);
         }
         if let Some(record) = record {
             let mut records = vec![record];
             records.extend(self.closing_record(request, &outcome));
-            self.record_end(ticket, records, outcome, on_recorded).await;
+            self.record_end(ticket, records, outcome, on_commit_end).await;
         } else {
             ticket.feed.close(outcome);
         }
@@ -43,18 +44,18 @@
         ticket: &CallTicket,
         records: Vec<Record>,
         outcome: Result<Answer, Refusal>,
-        on_recorded: impl FnOnce(),
+        on_commit_end: impl FnOnce(),
     ) {
         let commit = std::pin::pin!(self.wait_committed(self.append(&ticket.program, records)));
         let timeout = self.clock.sleep(self.settings.end_commit_wait);
         match select(commit, timeout).await {
             Either::Left((committed, _)) => {
-                on_recorded();
+                on_commit_end();
                 ticket.feed.close(committed.and(outcome));
             }
             Either::Right(((), commit)) => {
-                // The call stays marked as running until the commit, so that a retry gets this
-                // refusal at once and the recorded answer later.
+                // The call stays marked as running until the commit ends: a retry before that joins
+                // the closed feed and gets the refusal at once, a later one the recorded answer.
                 ticket.feed.close(Err(unrecorded_end(outcome)));
                 let _ = commit.await;
             }
--- a/crates/coordination/src/program.rs
+++ b/crates/coordination/src/program.rs
@@ -162,7 +162,7 @@
             return Decision::Refuse(Refusal::program_unknown());
         }
         if let Some(call) = self.calls.get(&request.sequence) {
-            return self.decide_known(call, request, digest);
+            return self.decide_existing(call, request, digest);
         }
         if let Some(refusal) = self.refuse_new(request) {
             return Decision::Refuse(refusal);
@@ -180,9 +180,10 @@
         self.budget_tokens.map(|budget| budget.saturating_sub(self.spent_tokens))
     }
 
-    fn decide_known(&self, call: &Call, request: &CallRequest, digest: &str) -> Decision {
+    fn decide_existing(&self, call: &Call, request: &CallRequest, digest: &str) -> Decision {
         if call.key.idempotency_key != request.idempotency_key {
-            // The known call has no answer, so another request may take its sequence.
+            // The existing call's last attempt ended without an answer, so another call may take
+            // its sequence.
             if matches!(call.phase, CallPhase::Open) && self.closed.is_none() {
                 return Decision::Run { attempt: call.key.attempt + 1 };
             }
@@ -231,7 +232,7 @@
 }
 
 impl Call {
-    /// Returns whether later calls of the program may run.
+    /// Returns whether the call has an answer or is in doubt, so that the next call may run.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         matches!(self.phase, CallPhase::Finished { .. } | CallPhase::InDoubt)
