--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -53,7 +53,7 @@
     node: RefCell<Rc<Node>>,
     config_follower: ConfigFollower,
     dispatcher: Dispatcher,
-    leaving: Cell<bool>,
+    shutting_down: Cell<bool>,
 }
 
 impl Control {
@@ -92,7 +92,7 @@
             peers,
             node: RefCell::new(node),
             dispatcher: Dispatcher::default(),
-            leaving: Cell::new(false),
+            shutting_down: Cell::new(false),
         })
     }
 
@@ -121,7 +121,7 @@
     ///
     /// Fails when the platform cannot be reached; the call is idempotent and can be retried.
     pub async fn leave(&self) -> PlatformResult<()> {
-        self.leaving.set(true);
+        self.shutting_down.set(true);
         self.node().leave().await
     }
 
@@ -149,7 +149,7 @@
     ///
     /// Refuses as documented at [`dandelionfront_coordination::Owner::admit`].
     pub async fn admit(&self, request: &CallRequest) -> Result<Admission, Refusal> {
-        let (node, shard) = self.serving_node(&request.program)?;
+        let (node, shard) = self.node_and_shard(&request.program)?;
         let mut admission = node.owner().admit(request).await?;
         if let Admission::Run(ticket) = &mut admission {
             ticket.fencing_number = node.shards().epoch(shard).unwrap_or(0);
@@ -232,7 +232,7 @@
     /// shard.
     pub async fn open_program(&self, spec: ProgramSpec) -> Result<ProgramId, Refusal> {
         let (node, shard) = match &spec.parent {
-            Some(parent) => self.serving_node(parent)?,
+            Some(parent) => self.node_and_shard(parent)?,
             None => (self.node(), self.pick_shard().ok_or_else(not_ready)?),
         };
         let id = program_id(&self.settings.identity.region, shard, rand::random());
@@ -251,7 +251,7 @@
         team: Option<String>,
         reason: CloseReason,
     ) -> Result<Vec<ProgramId>, Refusal> {
-        let (node, _) = self.serving_node(id)?;
+        let (node, _) = self.node_and_shard(id)?;
         let opened_unix_ms = node.owner().program(id, None).map(|program| program.opened_unix_ms);
         let ended = node.owner().close(id, team.as_deref(), reason).await?;
         if let Some(opened_unix_ms) = opened_unix_ms {
@@ -267,7 +267,7 @@
     ///
     /// Refuses when this node does not serve the program or it belongs to another team.
     pub fn program(&self, id: &str, team: Option<&str>) -> Result<Program, Refusal> {
-        let (node, _) = self.serving_node(id)?;
+        let (node, _) = self.node_and_shard(id)?;
         node.owner().program(id, team).ok_or_else(Refusal::program_unknown)
     }
 
@@ -276,7 +276,7 @@
     /// # Errors
     ///
     /// Refuses when this node does not serve the shard.
-    fn serving_node(&self, program: &str) -> Result<(Rc<Node>, ShardId), Refusal> {
+    fn node_and_shard(&self, program: &str) -> Result<(Rc<Node>, ShardId), Refusal> {
         let region_shard = parse_program_id(program).ok_or_else(Refusal::program_unknown)?;
         let node = self.node();
         let is_own_region = region_shard.region == self.settings.identity.region;
@@ -334,7 +334,7 @@
                 std::pin::pin!(self.config_follower.follow(head)),
             )
             .await;
-            if self.leaving.get() {
+            if self.shutting_down.get() {
                 return;
             }
             let mut identity = self.settings.identity.clone();
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -174,7 +174,7 @@
     let spec = ProgramSpec { team, parent: wanted.parent, budget_tokens };
     let region_shard = match &spec.parent {
         Some(parent) => parse_program_id(parent).ok_or_else(Refusal::program_unknown)?,
-        None => choose_region_shard(worker).await?,
+        None => choose_opening_shard(worker).await?,
     };
     match send_to_owner(worker, &region_shard, ProgramRequest::Open(spec)).await? {
         ProgramReply::Opened(id) => Ok(id),
@@ -184,7 +184,7 @@
 
 /// Selects the shard of a new program: a random one that this node serves, or any shard of the
 /// region if this node serves none.
-async fn choose_region_shard(worker: &Worker) -> Result<RegionShard, Refusal> {
+async fn choose_opening_shard(worker: &Worker) -> Result<RegionShard, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
     let shards = worker.shared.control.run(serving).await?;
     let position = rand::random_range(0..shards.len().max(1));
