--- a/crates/daemon/benches/capacity/probe.rs
+++ b/crates/daemon/benches/capacity/probe.rs
@@ -101,8 +101,8 @@
         };
         (total(after) - total(before)) / elapsed_s
     };
-    // Nodes count only the connections that they opened; on average, those that other nodes opened
-    // to them carry the same amount.
+    // Doubled below, because a node counts bytes only on connections that it opened; on average,
+    // the connections opened by other nodes carry the same amount.
     let opened =
         rate(&["dandelionfront_peer_sent_bytes_total", "dandelionfront_peer_received_bytes_total"]);
     add("peer_bytes_per_s", opened * 2.0);
--- a/crates/daemon/benches/capacity/scenarios.rs
+++ b/crates/daemon/benches/capacity/scenarios.rs
@@ -17,6 +17,7 @@
 const RUNNERS: &[usize] = &[10, 100, 500, 1_900];
 const REQUESTS_PER_S: &[usize] = &[0, 10, 30, 90, 180];
 const CHANGES_PER_MINUTE: &[usize] = &[0, 6, 30, 120];
+/// Number of repetitions of the takeover scenario, each with a new fleet.
 const TAKEOVER_RUNS: usize = 3;
 /// Number of programs that are opened concurrently.
 const OPENERS: usize = 64;
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -166,7 +166,8 @@
     #[arg(long, env = "DANDELIONFRONT_SERVICE_TIMEOUT_MS", default_value_t = 30_000)]
     pub service_timeout_ms: u64,
 
-    /// Time after which a model call without a waiting caller is cancelled, in milliseconds.
+    /// Time after which a model call without a waiting caller is cancelled on its engine, in
+    /// milliseconds.
     #[arg(long, env = "DANDELIONFRONT_ABANDON_MS", default_value_t = 10_000)]
     pub abandon_ms: u64,
 
@@ -182,7 +183,8 @@
     #[arg(long, env = "DANDELIONFRONT_BODY_MAX_BYTES", default_value_t = 4_194_304)]
     pub body_max_bytes: usize,
 
-    /// Maximum time that a graceful shutdown waits for running calls, in seconds.
+    /// Maximum time that a graceful shutdown waits for running calls and the release of the shards,
+    /// in seconds.
     #[arg(long, env = "DANDELIONFRONT_DRAIN_MAX_S", default_value_t = 600)]
     pub drain_max_s: u64,
 }
--- a/crates/daemon/src/connection/peers.rs
+++ b/crates/daemon/src/connection/peers.rs
@@ -45,7 +45,7 @@
 
     /// Takes a token from this node's share of a team's limit.
     ///
-    /// `row_version` is the version of the limit's split that the sender knows.
+    /// `row_version` is the version of the limit row known to the sender.
     #[method(name = "take")]
     async fn take(&self, team: TeamId, row_version: u64) -> RpcResult<TakeReply>;
 
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -21,7 +21,8 @@
     zone: String,
     draining: bool,
     config_version: u64,
-    /// Whether the shards are reconciled and the limits of the active configuration are prepared.
+    /// Whether each shard of the region has its preferred owner and the limits of the active
+    /// configuration are prepared.
     settled: bool,
     shards: usize,
     programs: usize,
--- a/crates/daemon/src/process/control.rs
+++ b/crates/daemon/src/process/control.rs
@@ -36,7 +36,7 @@
 
 /// Delay between attempts to register the node.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Interval between runs that end abandoned programs and release engine memory.
+/// Interval between clean-ups, each of which ends abandoned programs and releases engine memory.
 const CLEAN_UP_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between updates of the gauges.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(500);
@@ -204,7 +204,8 @@
         route: &str,
         tried: &[BackendId],
     ) -> Result<Placement, Refusal> {
-        // The servers tried before have no recorded answer but may hold memory for the program.
+        // Only the server that answers is recorded, but those tried before may also hold cached
+        // state for the program, which must be released.
         if !tried.is_empty() {
             self.node().owner().mark_unrecorded_backends(program);
         }
--- a/crates/daemon/src/process/lifecycle.rs
+++ b/crates/daemon/src/process/lifecycle.rs
@@ -34,10 +34,10 @@
 
 /// Interval between checks and retries during the graceful shutdown.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Delay before the listeners close after the last call or the drain deadline, because the load
-/// balancer notices the shutdown late.
+/// Time for which the listeners stay open after draining, because the load balancer sends new
+/// connections until it notices the shutdown.
 const LISTENER_CLOSE_DELAY: Duration = Duration::from_secs(1);
-/// Time that open connections have to finish when a listener stops; then the rest is dropped.
+/// Time after which a stopping listener drops its remaining connections.
 const CLOSE_TIMEOUT: Seconds = Seconds(2);
 /// Time after which idle connections from callers, operators and forwarding nodes are closed.
 const KEEP_ALIVE: Seconds = Seconds(75);
@@ -111,7 +111,8 @@
         &self.shared
     }
 
-    /// Shuts down gracefully: releases the shards to other nodes and waits for the calls in flight.
+    /// Shuts down gracefully: releases the shards to other nodes and waits up to `drain_max` for
+    /// the release and for the calls in flight.
     pub async fn stop(self) {
         info!("event=stop_begun");
         self.shared.draining.store(true, Ordering::Relaxed);
--- a/crates/daemon/src/request/execute.rs
+++ b/crates/daemon/src/request/execute.rs
@@ -19,7 +19,7 @@
 use crate::process::Worker;
 use crate::process::metrics::RetryReason;
 
-/// Maximum number of backend servers that one attempt is sent to.
+/// Maximum number of backend servers that are tried in one attempt.
 const BACKENDS_PER_ATTEMPT_MAX: usize = 3;
 /// Interval between checks whether a call was abandoned.
 const ABANDON_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/daemon/src/request/programs.rs
+++ b/crates/daemon/src/request/programs.rs
@@ -182,8 +182,9 @@
     }
 }
 
-/// Selects the shard of a new program: a random one that this node serves, or any shard of the
-/// region if this node serves none.
+/// Selects a shard whose owner opens a program without a parent: a random one that this node
+/// serves, or any shard of the region if this node serves none. The owner selects the program's
+/// own shard.
 async fn choose_opening_shard(worker: &Worker) -> Result<RegionShard, Refusal> {
     let serving = |control: Rc<Control>| async move { control.node().shards().serving() };
     let shards = worker.shared.control.run(serving).await?;
--- a/crates/daemon/src/request/submit.rs
+++ b/crates/daemon/src/request/submit.rs
@@ -48,7 +48,7 @@
     request: CallRequest,
     key_watcher: KeyWatcher,
     source: Source,
-    /// Whether an owner that failed may have run the call.
+    /// Whether an earlier owner may have run the call.
     may_have_run: bool,
     /// Monotonic time until which connecting to an owner is retried.
     deadline: Duration,
@@ -58,8 +58,8 @@
     received: StreamPrefix,
 }
 
-/// Number and digest of the chunks received so far; after a reconnection they show whether the new
-/// stream repeats the chunks that the caller already received.
+/// Number and digest of the first chunks of a stream; after a reconnection, used to check that the
+/// new stream repeats the chunks that the caller already received.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct StreamPrefix {
     chunks: usize,
@@ -181,13 +181,16 @@
         Ok(None)
     }
 
-    /// Replaces the last event if the repeated stream is incomplete or the outcome is unknown.
+    /// Replaces an answer by a refusal if the stream ended before it repeated all delivered chunks;
+    /// sets the run state of a refused repeatable call to unknown if an earlier owner may have run
+    /// it.
     fn check_last_event(&self, event: CallEvent) -> CallEvent {
         match event {
             CallEvent::Finished(_) if self.received != self.delivered => {
                 CallEvent::Refused(interrupted())
             }
-            // A failed owner may have run a repeatable call without recording it.
+            // An earlier owner may have run a repeatable call without a record of it; the start of
+            // a non-repeatable call is recorded before dispatch.
             CallEvent::Refused(refusal) if self.may_have_run && self.request.repeatable => {
                 CallEvent::Refused(Refusal { run: RunState::Unknown, ..refusal })
             }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -53,7 +53,7 @@
     pub engine_silence: Duration,
     /// Timeout of calls to plain services.
     pub service_timeout: Duration,
-    /// Time after which a model call without a waiting caller is cancelled.
+    /// Time after which a model call without a waiting caller is cancelled on its engine.
     pub abandon_after: Duration,
     /// Interval between reads of the platform's VM list.
     pub vm_poll: Duration,
@@ -61,7 +61,7 @@
     pub program_idle: Duration,
     /// Maximum size of a caller's request body, in bytes.
     pub body_max_bytes: usize,
-    /// Maximum time that a graceful shutdown waits for running calls.
+    /// Maximum time that a graceful shutdown waits for running calls and the release of the shards.
     pub drain_max: Duration,
 }
 
--- a/crates/daemon/src/version/follower.rs
+++ b/crates/daemon/src/version/follower.rs
@@ -34,7 +34,7 @@
     current: watch::Sender<Arc<ConfigSnapshot>>,
     /// Changes of the most recent versions, without gaps.
     recent: RefCell<VecDeque<VersionRow>>,
-    /// Last newer version that a peer reported and that was not fetched yet.
+    /// Latest report of a newer version by a peer; removed before that version is fetched.
     newer_config: RefCell<Option<NewerConfig>>,
     newer_config_reported: Notify,
     metrics: Metrics,
@@ -66,7 +66,7 @@
         Arc::clone(&self.current.borrow())
     }
 
-    /// Reads the head row, activates the newest version and returns it.
+    /// Reads the newest version number from the platform, activates that version and returns it.
     ///
     /// # Errors
     ///
