--- a/crates/coordination/src/freshness.rs
+++ b/crates/coordination/src/freshness.rs
@@ -2,11 +2,12 @@
 
 use std::time::Duration;
 
-/// Part of the time within which a withdrawn key must stop working, reserved for forwarding an
-/// accepted request to a backend server.
+/// Time allowed for forwarding an accepted request to a backend server. It is deducted from the
+/// time within which a withdrawn key must stop working.
 const WITHDRAWAL_MARGIN: Duration = Duration::from_millis(500);
 
-/// Time of the last confirmation, on a clock that also runs while the VM is suspended.
+/// Tracks whether the configuration was confirmed recently enough to accept keys. All times are
+/// from a clock that also runs while the VM is suspended.
 #[derive(Debug, Clone)]
 pub struct Freshness {
     valid_for: Duration,
--- a/crates/coordination/src/ledger.rs
+++ b/crates/coordination/src/ledger.rs
@@ -22,8 +22,9 @@
 /// Number of partitions of the table. The store supports 200 writes per second in each partition
 /// and 800 in total.
 const LEDGER_PARTS: u64 = 64;
-/// Maximum number of attempts per reservation or release. Each write conflict, which means that
-/// another node wrote the row, each rate-limited write and each read of the row uses one up.
+/// Maximum number of attempts per reservation or release. An attempt is either one write, which may
+/// be rate-limited or conflict with a write of another node, or one reload of the row because the
+/// cached row shows too few unclaimed tokens.
 const ATTEMPTS_MAX: u32 = 16;
 
 /// Number of retries of rate-limited writes after which a reservation fails.
@@ -37,14 +38,14 @@
 /// Maximum number of later turns that a claim also covers. If a node is killed, its programs lose
 /// the tokens that it had claimed, so this bounds the loss.
 const TURNS_AHEAD_MAX: u64 = 2;
-/// Divisor of the unclaimed budget: the result is the most that a claim takes for later turns, and
-/// the rest remains for other nodes.
+/// A claim takes at most the unclaimed budget divided by this for later turns; the rest remains for
+/// other nodes.
 const AHEAD_DIVISOR: u64 = 2;
 /// Maximum rounds of release requests per reservation.
 const RELEASE_ROUNDS_MAX: u32 = 2;
-/// Initial backoff after release requests that did not free enough tokens. It doubles each time,
-/// because a program that retries in an endless loop would otherwise cause a steady stream of
-/// requests.
+/// Initial backoff after a reservation that used all its rounds of release requests. It doubles
+/// with each further one until a claim succeeds, because a program that retries in an endless loop
+/// would otherwise cause a steady stream of requests.
 const RELEASE_BACKOFF_MIN: Duration = Duration::from_millis(250);
 /// Maximum backoff between release requests.
 const RELEASE_BACKOFF_MAX: Duration = Duration::from_secs(4);
@@ -117,7 +118,8 @@
     used_at: Duration,
     /// Earliest time of the next release request to other nodes.
     next_release_request_at: Duration,
-    /// Number of consecutive reservations whose release requests did not free enough tokens.
+    /// Number of reservations since the last successful claim that used all their rounds of release
+    /// requests.
     failed_release_attempts: u32,
     /// Whether this node has read or written the row.
     is_loaded: bool,
@@ -396,6 +398,7 @@
             }
             Ok(WriteOutcome::Conflict(row)) => {
                 cached.adopt(row, &self.claimant)?;
+                // The row may come from an earlier attempt of this write whose answer was lost.
                 Ok(cached.ledger == next)
             }
             Err(RowStoreError::AnswerLost { .. }) => {
--- a/crates/coordination/src/limits/bucket.rs
+++ b/crates/coordination/src/limits/bucket.rs
@@ -31,7 +31,7 @@
 }
 
 impl Bucket {
-    /// Creates a full bucket; the limits of the first [`Bucket::take`] determine its size.
+    /// Creates a full bucket; it holds the burst that is passed to the first [`Bucket::take`].
     #[must_use]
     pub fn filled(now: Duration) -> Self {
         // The first `take` reduces this to the burst.
--- a/crates/coordination/src/limits/escrow.rs
+++ b/crates/coordination/src/limits/escrow.rs
@@ -99,13 +99,14 @@
         self.rows.borrow().len()
     }
 
-    /// Takes one token of `team` from this node's share or another holder's, and waits for a token
-    /// that accrues within [`LimitSettings::token_wait`].
+    /// Takes one token of `team` from this node's share or that of another holder. If none is
+    /// available, waits for one that accrues within [`LimitSettings::token_wait`].
     ///
     /// # Errors
     ///
-    /// Refuses the request when the team exceeds its rate and burst, with the time until the next
-    /// token, or when no holder of the limit can be reached.
+    /// Returns [`RefusalKind::RateLimited`] with the time until the next token if the team exceeds
+    /// its rate and burst, and [`RefusalKind::LimitUnavailable`] if no reachable holder has a share
+    /// that it can spend.
     pub async fn acquire(
         &self,
         team: &TeamId,
@@ -288,9 +289,9 @@
         };
         let (_, known) = parse_row(row)?;
         let departed = known.row.shares.iter().find(|share| {
-            // A holder without a member row no longer spends its share: the row is removed only by
-            // a planned stop, which transfers the shares first, or long after the member was
-            // fenced.
+            // A holder without a member row no longer spends its share. Member rows are removed
+            // only by a planned stop, after the node has stopped spending and transferred its
+            // shares as far as possible, or long after the member was fenced.
             !members.iter().any(|member| member.id == share.holder)
         });
         let departed = departed.map(|share| share.holder.clone());
@@ -366,6 +367,7 @@
             .require(Table::Limits, team, expected)
             .put(Table::Limits, team, serde_json::to_value(&row).unwrap_or_default());
         if let TransactionOutcome::Committed(version) = self.table.transact(&transaction).await? {
+            // Also logged for transfers.
             info!("event=limit_split team={team} holders={}", row.shares.len());
             self.adopt(team.clone(), KnownRow { version, row });
             return Ok(true);
--- a/crates/coordination/src/limits/escrow/moves.rs
+++ b/crates/coordination/src/limits/escrow/moves.rs
@@ -54,7 +54,8 @@
         surplus.collect()
     }
 
-    /// Transfers the shares of fenced members to this node after their leases have expired.
+    /// Transfers to this node the shares of those fenced members that it must reclaim, once their
+    /// leases have expired.
     ///
     /// # Errors
     ///
--- a/crates/coordination/src/limits/reclaim.rs
+++ b/crates/coordination/src/limits/reclaim.rs
@@ -11,7 +11,8 @@
 /// Margin for clock drift between nodes during a lease.
 const DRIFT_MARGIN: Duration = Duration::from_millis(300);
 
-/// Fenced or removed members, with the time at which this node first saw them as such.
+/// Fenced members and fenced or removed reclaimers, each with the time at which this node first saw
+/// that state, and the members whose shares have been reclaimed.
 #[derive(Debug, Default)]
 pub(super) struct LostMembers {
     since: RefCell<HashMap<IncarnationId, Duration>>,
@@ -74,12 +75,12 @@
 
     /// Returns whether `own_id` must reclaim the shares of a fenced member now.
     ///
-    /// A member spends its shares only during its lease, which it extends by reading from the table
-    /// that it is not fenced and by heartbeat replies from its reclaimer. Its shares may be
-    /// reclaimed after it has been fenced for longer than a lease. As long as the reclaimer is
-    /// live, only the reclaimer may do so, after the last lease that it granted has expired. If
-    /// there is no reclaimer, or if the reclaimer has been fenced or removed for longer than a
-    /// lease too, the live member with the lowest id reclaims the shares.
+    /// A member spends its shares only during its lease. The lease is renewed by each membership
+    /// poll that shows the member as not fenced, and by each heartbeat reply from its reclaimer.
+    /// Its shares may be reclaimed after it has been fenced for longer than a lease. As long as the
+    /// reclaimer is live, only the reclaimer may do so, after the last lease that it granted has
+    /// expired. If there is no reclaimer, or if the reclaimer has been fenced or removed for longer
+    /// than a lease too, the live member with the lowest id reclaims the shares.
     fn is_reclaimable(
         &self,
         own_id: &str,
--- a/crates/coordination/src/limits/shares.rs
+++ b/crates/coordination/src/limits/shares.rs
@@ -10,10 +10,11 @@
 
 /// Number of parts that a limit is divided into.
 pub const PARTS_PER_LIMIT: u32 = 1024;
-/// Burst tokens per holder before the number of holders is rounded up to a power of two; a smaller
-/// burst has fewer holders.
+/// The burst divided by this is the number of holders, before it is limited to at least 1 and at
+/// most [`HOLDERS_MAX`] and rounded up to a power of two.
 const BURST_PER_HOLDER: u32 = 16;
-/// Maximum number of holders of one limit; a request may ask all of them for a token.
+/// Maximum number of holders of one limit, a power of two. A request may ask all of them for a
+/// token.
 const HOLDERS_MAX: u32 = 4;
 
 /// Share of a limit that one node may spend.
--- a/crates/coordination/src/limits/usage.rs
+++ b/crates/coordination/src/limits/usage.rs
@@ -10,9 +10,10 @@
 //!
 //! Near the limit, requests of started programs take precedence over new programs, because
 //! finishing a few programs is worth more than starting many. The first turn of a program also
-//! takes the average number of requests of a program from a second bucket. When the team's bucket
-//! runs low, a new program is refused if the second bucket does not hold that many tokens or if the
-//! team's bucket is down to the reserve for started programs.
+//! takes the average number of requests of a program from a second bucket, the program bucket.
+//! While the team's bucket is below `PROGRAM_BUCKET_THRESHOLD`, a new program is refused if the
+//! program bucket holds fewer tokens than that average, or if the team's bucket is below the
+//! reserve for started programs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -35,9 +36,9 @@
     pub requests: u64,
     /// Programs started.
     pub programs: u64,
-    /// Tokens left in the team's bucket; a starting node initializes its own bucket from it.
+    /// Tokens left in the team's bucket; nodes initialize their own bucket of the team from it.
     pub tokens_left: i64,
-    /// Tokens left in the bucket for new programs; also initializes that of a starting node.
+    /// Tokens left in the program bucket; used like `tokens_left`.
     pub program_tokens_left: i64,
 }
 
@@ -79,7 +80,7 @@
 const RATE_WEIGHT: f64 = 0.4;
 /// Requests per program assumed until [`PROGRAMS_SEEN_MIN`] programs have started.
 const REQUESTS_PER_PROGRAM_DEFAULT: f64 = 12.0;
-/// Number of started programs from which the measured average is used.
+/// Number of programs that must have started before the measured average is used.
 const PROGRAMS_SEEN_MIN: u64 = 8;
 /// Interval between updates of the average, whose computation visits all members and teams.
 const ESTIMATE_INTERVAL: Duration = Duration::from_millis(250);
@@ -87,11 +88,11 @@
 const PROGRAM_BUCKET_THRESHOLD: f64 = 0.85;
 /// Fraction of the burst that is reserved for started programs.
 const STARTED_PROGRAMS_RESERVE: f64 = 0.4;
-/// Initial fraction of the burst in a bucket that is not initialized from a report. A full bucket
-/// could exceed the limit, because spending before a restart of all nodes is unknown.
+/// Initial fraction of the burst in a bucket that is not initialized from a report. After a restart
+/// of all nodes, earlier spending is unknown, and with a full bucket a team could exceed its limit.
 const INITIAL_FILL: f64 = 0.5;
-/// Approximate duration of a program. The second bucket also holds what accrues in this time,
-/// because a program spreads its requests over it.
+/// Approximate duration of a program. The program bucket can hold the burst and the tokens accrued
+/// in this time, because a program spreads its requests over its duration.
 const PROGRAM_DURATION: Duration = Duration::from_secs(2);
 
 #[derive(Debug)]
@@ -106,7 +107,7 @@
 struct TeamBucket {
     /// Tokens left; negative while the team has spent more than has accrued.
     tokens: f64,
-    /// Requests that new programs may still reserve.
+    /// Tokens in the program bucket; negative while new programs have taken more than has accrued.
     program_tokens: f64,
     updated_at: Duration,
     own_admitted: Admitted,
@@ -189,7 +190,7 @@
     }
 
     /// Refunds the token of a request that was admitted but never sent; a new program's tokens from
-    /// the second bucket are not refunded.
+    /// the program bucket are not refunded.
     pub fn refund(&mut self, team: TeamHash) {
         if let Some(bucket) = self.teams.get_mut(&team) {
             bucket.tokens += 1.0;
@@ -204,7 +205,8 @@
         admitted.map(|(team, bucket)| (*team, bucket.report())).collect()
     }
 
-    /// Initializes the buckets of all teams from the first report received after the start.
+    /// Initializes the buckets of the reported teams from the first report received after the
+    /// start, less the requests that this node has already admitted.
     fn seed_from_report(&mut self, admitted: &AdmittedCounts, now: Duration) {
         self.is_seeded = true;
         for (team, count) in admitted {
@@ -363,8 +365,8 @@
 }
 
 impl TeamBucket {
-    /// Returns the bucket of a team that no node has reported; it accrues from time zero of the
-    /// clock.
+    /// Returns the bucket of a team that no node has reported. Its first update adds the tokens
+    /// accrued since time zero of the clock, which is the start of the process.
     fn initial(limits: BucketLimits) -> Self {
         let tokens = limits.burst * INITIAL_FILL;
         Self { tokens, program_tokens: tokens, ..Self::default() }
@@ -403,7 +405,7 @@
     Duration::try_from_secs_f64(value).unwrap_or(Duration::MAX)
 }
 
-#[expect(clippy::cast_precision_loss, reason = "counts of one interval are small")]
+#[expect(clippy::cast_precision_loss, reason = "counts are far below 2^53")]
 fn signed_difference(new: u64, old: u64) -> f64 {
     if new >= old { (new - old) as f64 } else { -((old - new) as f64) }
 }
--- a/crates/coordination/src/placement.rs
+++ b/crates/coordination/src/placement.rs
@@ -1,9 +1,10 @@
 //! Choice of a backend server for a request.
 //!
 //! Every node ranks the servers of a service by rendezvous hashing, so that equal keys map to the
-//! same server on all nodes without coordination. The candidates are the healthy servers highest in
-//! rank (two, or all under some policies) and the servers that failed recently. Each has a cost:
-//! its load, a penalty while it is avoided after failures and, with affinity, the cost of
+//! same server on all nodes without coordination. The candidates are the two healthy servers
+//! highest in rank (all of them under some policies) and every server that is not healthy: those
+//! avoided after failures and, for a request that must not run again, those whose last request
+//! failed. Each has a cost: its load, a penalty while it is avoided and, with affinity, the cost of
 //! prefilling the prompt again on a server other than the first in rank. The cheapest candidate is
 //! chosen.
 
@@ -38,8 +39,8 @@
     pub policy: PlacementPolicy,
     /// Placement key; requests with equal keys share parts of their prompts.
     pub key: &'a str,
-    /// Whether the request may run again after a failure, so that it may be sent to a server whose
-    /// last request failed.
+    /// Whether the request may run again after a failure. If not, a server whose last request
+    /// failed is not considered healthy and loses ties with healthy candidates.
     pub may_repeat: bool,
     /// Servers that must not be chosen.
     pub excluded: &'a [BackendId],
@@ -48,9 +49,9 @@
 /// Number of other nodes that must avoid a server before this node avoids it too. Failures at a
 /// single node may be due to its own network path to the server.
 const AVOID_QUORUM: u32 = 2;
-/// Number of healthy servers whose costs are compared. With more, all sessions that leave busy
-/// servers would move to the one that was least loaded in the last reports, and their prompts would
-/// be prefilled again there.
+/// Number of healthy servers whose costs are compared. Comparing more would cause herding: sessions
+/// leaving busy servers would all move to the server that was least loaded in the last reports, and
+/// their prompts would be prefilled again there.
 const COMPARED_SERVERS: usize = 2;
 
 /// Cost of prefilling the prompt on a server other than the first in rank, in fractions of a
@@ -120,7 +121,7 @@
             !self.is_avoided(server, now) && (may_repeat || !self.failed_last(server))
         };
         let healthy = candidates.iter().filter(|(_, server)| is_healthy(server)).take(compared_max);
-        // Servers that failed recently come last and so lose ties; while avoided, they also cost
+        // Servers that are not healthy come last and so lose ties; while avoided, they also cost
         // more than any load.
         healthy
             .chain(candidates.iter().filter(|(_, server)| !is_healthy(server)))
@@ -206,8 +207,7 @@
         avoided.map(|(id, _)| server_hash(id)).collect()
     }
 
-    /// Replaces the servers that another node avoids; `avoided` is empty for a node that is
-    /// unreachable or has left.
+    /// Replaces the list of servers that another node avoids.
     pub fn set_peer_avoided(&mut self, member: &str, avoided: Vec<ServerHash>) {
         for server in &avoided {
             *self.avoiding_peers.entry(*server).or_default() += 1;
@@ -230,8 +230,7 @@
         self.set_peer_avoided(member, Vec::new());
     }
 
-    /// Replaces the requests in flight from another node; `load` is empty for a node that is
-    /// unreachable or has left.
+    /// Replaces the numbers of requests in flight from another node.
     pub fn set_peer_load(&mut self, member: &str, load: Vec<(ServerHash, u32)>) {
         for (server, in_flight) in &load {
             *self.peer_in_flight.entry(*server).or_default() += in_flight;
--- a/crates/coordination/src/refusal.rs
+++ b/crates/coordination/src/refusal.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Whether a refused request took effect.
+/// Whether a refused request was executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunState {
@@ -133,7 +133,7 @@
     pub kind: RefusalKind,
     /// Explanation for the caller, including a remedy.
     pub message: String,
-    /// Whether the request took effect.
+    /// Whether the request was executed.
     pub run: RunState,
     /// Delay after which a retry may succeed; `None` if no retry is suggested.
     pub retry_after_ms: Option<u64>,
--- a/crates/coordination/src/routing.rs
+++ b/crates/coordination/src/routing.rs
@@ -73,8 +73,8 @@
     pub turn_retention: Duration,
     /// Whether requests need no key.
     pub is_public: bool,
-    /// Whether a backend server is faster for an object that it handled recently; placement does
-    /// not use this.
+    /// Whether a backend server is faster for an object that it handled recently. Read from the
+    /// configuration, but not used by placement.
     pub is_sticky: bool,
 }
 
@@ -83,7 +83,7 @@
     #[must_use]
     pub fn service_for(&self, id: &str) -> Option<&ServiceId> {
         let total: f64 = self.targets.iter().map(|target| target.weight).sum();
-        #[expect(clippy::cast_precision_loss, reason = "53 bits fit exactly")]
+        #[expect(clippy::cast_precision_loss, reason = "an f64 represents 53-bit integers exactly")]
         let mut point = total * (xxh3_64(id.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64;
         for target in &self.targets {
             point -= target.weight;
--- a/crates/coordination/src/servers.rs
+++ b/crates/coordination/src/servers.rs
@@ -53,7 +53,8 @@
 #[derive(Debug)]
 struct KnownServer {
     entry: ServerEntry,
-    /// Time at which the entry was first missing, if it is kept for the grace period.
+    /// Time at which the entry was first missing, if it is kept for the grace period. The period
+    /// starts at the last store failure, not at this time.
     missing_since: Option<Duration>,
 }
 
--- a/crates/coordination/src/turns.rs
+++ b/crates/coordination/src/turns.rs
@@ -79,7 +79,8 @@
         /// Requested turn.
         turn: RequestId,
     },
-    /// The store failed or contains an unusable row, so it is unknown whether the turn exists.
+    /// The store failed or contains an unusable row, so it is unknown whether the turn exists. Also
+    /// returned when a turn cannot be stored, although the message mentions only reading.
     #[snafu(display("the turn cannot be read: {source}; retry later"))]
     Store {
         /// Cause.
