--- a/crates/coordination/src/owner/finish.rs
+++ b/crates/coordination/src/owner/finish.rs
@@ -23,7 +23,7 @@
         on_commit_end: impl FnOnce(),
     ) {
         let (record, outcome) = Self::end_record(ticket, request, end);
-        // An end without an answer is always marked, even if nothing was sent.
+        // An end without an answer is always marked, even if no backend server ran the call.
         if outcome.is_err() {
             self.mark_unrecorded_backends(&ticket.program);
         }
--- a/crates/coordination/src/owner/types.rs
+++ b/crates/coordination/src/owner/types.rs
@@ -81,9 +81,10 @@
         /// Backend server that answered.
         backend: BackendId,
     },
-    /// Nothing was sent to a backend server.
+    /// The request was not sent, or every backend server that received it rejected it without
+    /// running it.
     NotSent(Refusal),
-    /// The request was sent at least in part, but no complete answer was received.
+    /// The request may have run, but no complete answer was received.
     Lost(Refusal),
 }
 
