--- a/crates/coordination/tests/backends.rs
+++ b/crates/coordination/tests/backends.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn entries_that_lapsed_in_an_outage_are_kept_for_a_while() {
+fn entries_that_expire_in_a_store_outage_are_kept_for_the_grace_period() {
     let mut list = ServerList::default();
     list.insert(entry("a"));
     list.insert(entry("b"));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_draining_server_that_lapses_is_gone_at_once() {
+fn a_draining_server_whose_entry_expires_is_removed_at_once() {
     let mut list = ServerList::default();
     list.insert(ServerEntry { state: ServerState::Draining, ..entry("a") });
     list.note_store_failure(Duration::from_secs(1));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn load_moves_a_session_only_beyond_the_prefill_cost() {
+fn a_session_moves_only_if_the_load_exceeds_the_cost_of_a_new_prefill() {
     let servers: Vec<ServerEntry> = (0..4).map(|index| entry(&format!("s{index}"))).collect();
     let mut placement = Placement::default();
     let choose = |placement: &Placement| {
@@ -254,7 +254,7 @@
 /// requires another prefill of the prompt, which adds load, so a session must not move to any
 /// server that looks idle.
 #[test]
-fn lines_that_leave_a_loaded_server_do_not_wander() {
+fn sessions_that_leave_a_loaded_server_do_not_keep_moving() {
     let load = SimulatedLoad {
         nodes: 81,
         report_interval_ms: 480,
@@ -303,7 +303,7 @@
 /// Guards against failed requests that must not run again. Some servers look healthy but reset
 /// connections; only requests that may run again should probe whether they have recovered.
 #[test]
-fn requests_that_may_not_run_again_avoid_servers_on_probation() {
+fn non_repeatable_requests_avoid_servers_that_have_not_recovered() {
     let servers = [entry("a"), entry("b")];
     let mut placement = Placement::default();
     let choose = |placement: &Placement, may_repeat, now| {
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_route_with_the_longest_path_prefix_is_chosen() {
     let team = Team {
         name: "t".to_owned(),
         keys: vec!["k".to_owned()],
@@ -398,7 +398,7 @@
 }
 
 #[test]
-fn keys_are_refused_before_a_withdrawal_could_be_overdue() {
+fn the_configuration_is_stale_once_its_last_confirmation_is_too_old() {
     let second = Duration::from_secs(1);
     let mut freshness = Freshness::new(5 * second);
     assert!(!freshness.is_fresh(second));
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -161,7 +161,7 @@
 /// Guards against exhausting the store's write rate with many short programs, each on one node.
 /// Claims that cover only one turn would write the row for every turn.
 #[tokio::test(flavor = "current_thread")]
-async fn a_program_of_one_node_writes_its_row_once_in_three_turns_at_most() {
+async fn a_program_on_one_node_writes_its_row_at_most_every_third_turn() {
     let rows = MemoryRows::default();
     let ledgers = node(&rows, "a");
     let (programs, turns) = (50, 9);
@@ -182,7 +182,7 @@
 /// Guards against a refusal while other nodes hold unused claims. The turns of a program alternate
 /// between nodes, and its budget is just large enough.
 #[tokio::test(flavor = "current_thread")]
-async fn sessions_that_change_nodes_find_tokens_claimed_ahead_by_others() {
+async fn programs_that_change_nodes_can_use_tokens_claimed_by_other_nodes() {
     with_tasks(async {
         let rows = MemoryRows::default();
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b", "c"]);
@@ -242,7 +242,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_planned_stop_releases_unused_claims() {
+async fn a_graceful_shutdown_releases_unused_claims() {
     let rows = MemoryRows::default();
     let (first, second) = (node(&rows, "a"), node(&rows, "b"));
     first.reserve("p", TOKENS_MAX, 1_200).await.expect("fits, with turns ahead");
@@ -254,7 +254,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_claim_of_a_forgotten_program_counts_as_used() {
+async fn the_claim_of_an_evicted_program_is_treated_as_used() {
     let rows = MemoryRows::default();
     let ledgers = node(&rows, "a");
     ledgers.reserve("p", TOKENS_MAX, 500).await.expect("fits");
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_cold_node_assembles_the_whole_chain_in_order() {
+async fn a_node_with_an_empty_cache_assembles_the_whole_chain_in_order() {
     let rows = MemoryRows::default();
     keep_three_turns(&node(&rows)).await;
     let chain = node(&rows).chain("alpha", "t3").await.expect("known");
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn an_outage_leaves_open_whether_a_turn_exists() {
+async fn a_turn_that_cannot_be_read_in_an_outage_is_not_reported_as_unknown() {
     let rows = MemoryRows::default();
     keep_three_turns(&node(&rows)).await;
     rows.set_faults(RowFaults { outage: true, ..RowFaults::default() });
--- a/crates/coordination/tests/usage.rs
+++ b/crates/coordination/tests/usage.rs
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_single_node_may_spend_the_whole_limit() {
+fn a_team_within_its_limit_is_not_refused_if_all_requests_use_one_node() {
     let mut fleet = Fleet::new(13);
     let mut refused = 0;
     for step in 0..2_000 {
@@ -228,7 +228,7 @@
 
 /// Simulates a team whose limit was lowered far below the demand of its programs, and returns the
 /// number of finished programs.
-fn programs_finished(defers_new: bool, time_left: Duration) -> usize {
+fn programs_finished(marks_first_requests: bool, time_left: Duration) -> usize {
     const REQUESTS: u32 = 15;
     let mut random = StdRng::seed_from_u64(3);
     let mut fleet = Fleet::new(13);
@@ -247,7 +247,7 @@
                 kept.push((done, at));
                 continue;
             }
-            let is_first = done == 0 && defers_new;
+            let is_first = done == 0 && marks_first_requests;
             let place = if is_first { Step::Begins } else { Step::Continues { time_left } };
             let is_sent = fleet.take(random.random_range(0..13), place);
             match done + u32::from(is_sent) {
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn holding_new_programs_back_finishes_more_of_them() {
+fn refusing_new_programs_first_lets_more_programs_finish() {
     let time_left = Duration::from_millis(900);
     let with = programs_finished(true, time_left);
     let without = programs_finished(false, time_left);
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -69,7 +69,7 @@
 }
 
 #[ntex::test]
-async fn call_runs_once_with_unknown_outcome_if_owner_is_killed_after_answer() {
+async fn call_runs_once_with_unknown_outcome_if_owner_is_killed_before_recording_the_answer() {
     assert_eq!(call_with_crashing_owner("answered:abort").await, (1, 409));
 }
 
@@ -89,7 +89,7 @@
 }
 
 #[ntex::test]
-async fn call_runs_once_with_unknown_outcome_if_owner_is_frozen_after_answer() {
+async fn call_runs_once_with_unknown_outcome_if_owner_is_frozen_before_recording_the_answer() {
     assert_eq!(call_with_crashing_owner("answered:stop").await, (1, 409));
 }
 
@@ -102,7 +102,7 @@
     let call = ProgramCall { program: &program, sequence: 1, idempotency_key: "k", content: "x" };
     let http = fleet.http.clone();
     let first = ntex::rt::spawn({
-        let request = call.request(&http, &fleet.nodes[0].listen, ALPHA_KEY);
+        let request = call.service_request(&http, &fleet.nodes[0].listen, ALPHA_KEY);
         async move { http.send(request, "x").await }
     });
     eventually("the service executes", async || (fleet.executions("k").await == 1).then_some(()))
@@ -161,7 +161,7 @@
     let mut repeats = Vec::new();
     for node in fleet.nodes.iter().cycle().take(12) {
         let http = fleet.http.clone();
-        let request = call.request(&http, &node.listen, ALPHA_KEY);
+        let request = call.service_request(&http, &node.listen, ALPHA_KEY);
         repeats.push(ntex::rt::spawn(async move { http.send(request, "x").await }));
     }
     for repeat in repeats {
--- a/crates/daemon/tests/budget.rs
+++ b/crates/daemon/tests/budget.rs
@@ -110,7 +110,7 @@
 }
 
 /// Waits until the engine keeps no memory for `program`.
-async fn wait_released(fleet: &Fleet, program: &str) {
+async fn wait_until_prefix_is_freed(fleet: &Fleet, program: &str) {
     eventually("the engine has freed the memory", async || {
         let memory = fleet.http.get_json(&fleet.engines[0].1, "/standin/memory").await;
         memory.get(program).is_none().then_some(())
@@ -118,7 +118,7 @@
     .await;
 }
 
-async fn holds_memory(fleet: &Fleet, program: &str) -> bool {
+async fn has_cached_prefix(fleet: &Fleet, program: &str) -> bool {
     let memory = fleet.http.get_json(&fleet.engines[0].1, "/standin/memory").await;
     memory.get(program).is_some()
 }
@@ -132,7 +132,7 @@
         .await
         .expect("the node answers")
         .expect_status(200);
-    assert!(holds_memory(fleet, program).await, "the engine did not cache the prefix");
+    assert!(has_cached_prefix(fleet, program).await, "the engine did not cache the prefix");
 }
 
 #[ntex::test]
@@ -148,7 +148,7 @@
         .await
         .expect("the node answers")
         .expect_status(200);
-    wait_released(&fleet, &ended).await;
+    wait_until_prefix_is_freed(&fleet, &ended).await;
 
     let parent = open_program(&fleet, 1, json!({})).await;
     let child = open_program(&fleet, 0, json!({ "parent": parent })).await;
@@ -156,7 +156,7 @@
     let request =
         fleet.http.request("DELETE", &fleet.nodes[0].operator, &format!("/v1/programs/{parent}"));
     fleet.http.send(request, "").await.expect("the node answers").expect_status(200);
-    wait_released(&fleet, &child).await;
+    wait_until_prefix_is_freed(&fleet, &child).await;
     let closed = fleet.history(&fleet.nodes[1], ALPHA_KEY, &child).await.expect_status(200).json();
     assert_eq!((&closed["state"], &closed["closed"]), (&json!("closed"), &json!("parent_ended")));
 }
@@ -173,8 +173,8 @@
     fleet.nodes[2].process.kill();
     fleet.nodes.truncate(2);
     fleet.wait_for_all_shards(&[0, 1]).await;
-    assert!(holds_memory(&fleet, &orphan).await);
-    wait_released(&fleet, &orphan).await;
+    assert!(has_cached_prefix(&fleet, &orphan).await);
+    wait_until_prefix_is_freed(&fleet, &orphan).await;
     let history =
         fleet.history(&fleet.nodes[0], ALPHA_KEY, &orphan).await.expect_status(200).json();
     assert_eq!(history["closed"], "abandoned");
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -18,7 +18,7 @@
     objects
 }
 
-async fn wait_in_force(fleet: &Fleet, version: u64, accepted: Instant) {
+async fn check_in_force_in_time(fleet: &Fleet, version: u64, accepted: Instant) {
     fleet.wait_config(version).await;
     assert!(accepted.elapsed() < MAX_PROPAGATION_TIME, "in force after {:?}", accepted.elapsed());
 }
@@ -42,7 +42,7 @@
         assert_eq!(statuses, [200, 409], "{} {}", first.body, second.body);
         let loser = if first.status == 409 { first } else { second };
         assert!(loser.body.contains("came first"), "{}", loser.body);
-        wait_in_force(&fleet, 2 + round, Instant::now()).await;
+        check_in_force_in_time(&fleet, 2 + round, Instant::now()).await;
         let mut digests = Vec::new();
         for node in &fleet.nodes {
             digests.push(fleet.http.get_json(&node.operator, "/v1/config").await["digest"].clone());
@@ -65,7 +65,7 @@
     let other = &fleet.nodes[1].operator;
     let repeat = fleet.publish_on(other, &json!(1), objects, "lost").await.expect_status(200);
     assert_eq!(repeat.json()["version"], 2);
-    wait_in_force(&fleet, 2, Instant::now()).await;
+    check_in_force_in_time(&fleet, 2, Instant::now()).await;
     let history = fleet.http.get_json(operator, "/v1/config/history").await;
     assert_eq!(history.as_array().expect("list").len(), 2);
 }
@@ -80,7 +80,7 @@
     let accepted = Instant::now();
     fleet.platform_faults(json!({ "outage": true })).await;
     assert_eq!(reply.json()["version"], 2);
-    wait_in_force(&fleet, 2, accepted).await;
+    check_in_force_in_time(&fleet, 2, accepted).await;
 }
 
 /// Guards against a node that returns to an older version after an outage, a lost answer or the
@@ -105,7 +105,7 @@
             }
             _ => {}
         }
-        wait_in_force(&fleet, version, accepted).await;
+        check_in_force_in_time(&fleet, version, accepted).await;
         fleet.platform_faults(json!({})).await;
     }
     for node in &fleet.nodes {
--- a/crates/daemon/tests/front.rs
+++ b/crates/daemon/tests/front.rs
@@ -97,7 +97,7 @@
 /// Guards against access to turns of other teams, and against a turn that is reported as unknown
 /// while the store cannot be read.
 #[ntex::test]
-async fn previous_turn_of_another_team_is_unknown() {
+async fn previous_turn_is_unknown_to_other_teams_but_unavailable_during_an_outage() {
     let site = Site::start(1).await;
     assert_eq!(send_turn(&site, 0, "t-1", "/stream/kept/a", None, "1000").await.status, 200);
     let headers = [("previous-turn", "t-1")];
@@ -113,7 +113,7 @@
 }
 
 #[ntex::test]
-async fn unsafe_call_with_a_lost_answer_runs_once_and_has_an_unknown_outcome() {
+async fn call_with_a_lost_answer_is_retried_only_if_it_is_safe() {
     let site = Site::start(1).await;
     for service in &site.services {
         site.set_faults(&service.address, &json!({ "lose_answers": 1 })).await;
@@ -157,7 +157,7 @@
 /// Guards against streams that lose, repeat or split an event when the connection to the engine is
 /// closed in the middle of an event.
 #[ntex::test]
-async fn interrupted_stream_resumes_after_its_last_complete_event() {
+async fn only_resumable_streams_are_resumed_after_an_interruption() {
     let site = Site::start(1).await;
     for engine in &site.engines {
         site.set_faults(&engine.address, &json!({ "cut_streams": 1 })).await;
@@ -362,7 +362,7 @@
 
 /// Guards against a node that stops serving because only its own connections to the store fail.
 #[ntex::test]
-async fn node_without_store_access_works_through_a_peer() {
+async fn node_without_store_access_uses_the_store_through_another_node() {
     let mut site = Site::start(1).await;
     let any_port = "127.0.0.1:0".parse().expect("valid");
     let target = site.store.parse().expect("an address");
@@ -415,8 +415,8 @@
     })
     .await;
     eventually("the stream ends at the engine", async || {
-        let cut = site.http.get_json(&slow.address, "/standin/streams").await;
-        (cut["open"] == 0).then_some(())
+        let streams = site.http.get_json(&slow.address, "/standin/streams").await;
+        (streams["open"] == 0).then_some(())
     })
     .await;
 }
--- a/crates/daemon/tests/history.rs
+++ b/crates/daemon/tests/history.rs
@@ -91,7 +91,7 @@
 }
 
 #[ntex::test]
-async fn history_survives_outages_and_lost_answers() {
+async fn history_survives_outages_and_lost_answers_of_the_platform() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
     let mut answers = Vec::new();
--- a/crates/daemon/tests/keys.rs
+++ b/crates/daemon/tests/keys.rs
@@ -209,10 +209,14 @@
         .expect("the node answers")
         .expect_status(404);
 
-    let single = fleet.http.request("POST", &fleet.nodes[0].listen, "/v1/services/desk/checkout");
-    let single =
-        fleet.http.send(single.bearer_auth(BETA_KEY), "x").await.expect("the node answers");
-    assert_eq!((single.status, single.kind().as_str()), (404, "route_unknown"));
+    let without_program =
+        fleet.http.request("POST", &fleet.nodes[0].listen, "/v1/services/desk/checkout");
+    let without_program = fleet
+        .http
+        .send(without_program.bearer_auth(BETA_KEY), "x")
+        .await
+        .expect("the node answers");
+    assert_eq!((without_program.status, without_program.kind().as_str()), (404, "route_unknown"));
 
     let status = |key: Option<&str>| {
         let request = fleet.http.request("GET", &fleet.nodes[0].listen, "/v1/services/status/now");
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -92,7 +92,7 @@
 ///
 /// A token is taken by the node that receives the call, and the service executes the call after its
 /// start was recorded. A window may therefore contain executions whose tokens were taken earlier.
-const MAX_TRANSIT_S: f64 = 0.5;
+const MAX_TOKEN_TO_EXECUTION_S: f64 = 0.5;
 
 async fn check_bound(fleet: &Fleet, rate_per_s: f64, burst: u32) {
     check_bound_after(fleet, 0, rate_per_s, burst).await;
@@ -101,7 +101,7 @@
 /// Checks the executions after the first `skip`.
 async fn check_bound_after(fleet: &Fleet, skip: usize, rate_per_s: f64, burst: u32) {
     let excess = largest_excess(fleet, skip, rate_per_s, burst).await;
-    assert!(excess <= rate_per_s * MAX_TRANSIT_S, "{excess} executions over the bound");
+    assert!(excess <= rate_per_s * MAX_TOKEN_TO_EXECUTION_S, "{excess} executions over the bound");
 }
 
 #[ntex::test]
@@ -117,7 +117,7 @@
 }
 
 #[ntex::test]
-async fn limit_holds_over_four_holders() {
+async fn limit_is_enforced_when_four_of_five_nodes_hold_a_share() {
     let fleet = limited_fleet(5, 10.0, 64).await;
     assert_eq!(fleet.limit_holder_count("alpha").await, 4);
     let result = flood(&fleet, &[0, 1, 2, 3, 4], ALPHA_KEY, 80, 4).await;
@@ -142,7 +142,7 @@
 
 /// Guards against a holder of the limit whose share is replaced by a full burst after it is killed.
 #[ntex::test]
-async fn killed_holder_adds_no_burst() {
+async fn share_of_a_killed_node_is_recovered_without_an_extra_burst() {
     let mut fleet = limited_fleet(4, 1.0, 20).await;
     flood(&fleet, &[0], ALPHA_KEY, 40, 2).await;
     let holder = fleet.first_limit_holder("alpha").await;
@@ -156,7 +156,7 @@
 /// Guards against a holder that is frozen, loses its share to another node and, once it resumes,
 /// still takes tokens from that share.
 #[ntex::test]
-async fn resumed_holder_adds_no_burst() {
+async fn resumed_node_takes_no_tokens_from_its_former_share() {
     let fleet = limited_fleet(4, 1.0, 20).await;
     flood(&fleet, &[0], ALPHA_KEY, 15, 1).await;
     let holder = fleet.first_limit_holder("alpha").await;
@@ -186,7 +186,7 @@
 }
 
 #[ntex::test]
-async fn lowered_limit_applies_once_it_is_in_force() {
+async fn lowered_limit_is_enforced_once_all_nodes_have_adopted_it() {
     let fleet = limited_fleet(3, 40.0, 40).await;
     flood(&fleet, &[0, 1, 2], ALPHA_KEY, 60, 2).await;
     fleet.publish(limited_objects(&fleet, 5.0, 5), "lower").await.expect_status(200);
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -46,8 +46,8 @@
     assert!(prompts[1].contains(&first), "the second call does not contain the first answer");
 
     let history = fleet.history(edge, ALPHA_KEY, &program).await.expect_status(200).json();
-    let states: Vec<_> = history["calls"].as_array().expect("calls").iter().collect();
-    let summary: Vec<_> = states
+    let calls: Vec<_> = history["calls"].as_array().expect("calls").iter().collect();
+    let summary: Vec<_> = calls
         .iter()
         .map(|call| json!([call["sequence"], call["route"], call["state"], call["status"]]))
         .collect();
@@ -60,7 +60,7 @@
 }
 
 #[ntex::test]
-async fn program_of_another_region_is_served_in_that_region() {
+async fn call_of_a_program_of_another_region_is_forwarded_to_that_region() {
     let mut fleet = Fleet::start(FleetOptions { nodes: 1, ..FleetOptions::default() }).await;
     let far = [("DANDELIONFRONT_REGION", "far"), ("DANDELIONFRONT_ZONE", "far-a")];
     let node = fleet.start_node(&fleet.platform_address, &far);
--- a/crates/daemon/tests/refusals.rs
+++ b/crates/daemon/tests/refusals.rs
@@ -83,7 +83,7 @@
 }
 
 #[ntex::test]
-async fn sequence_ahead_of_order_is_refused_as_not_run() {
+async fn call_that_skips_sequence_numbers_is_refused_as_not_run() {
     let node_args = vec!["--order-wait-ms".to_owned(), "200".to_owned()];
     let fleet = Fleet::start(FleetOptions { node_args, ..FleetOptions::default() }).await;
     let program = fleet.program_owned_by(&fleet.nodes[1], ALPHA_KEY).await;
@@ -95,7 +95,7 @@
 }
 
 #[ntex::test]
-async fn malformed_engine_answer_is_refused_with_unknown_outcome() {
+async fn malformed_engine_answer_gives_a_502_with_unknown_outcome() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let faults = json!({ "garbage": true });
     fleet.http.put_json(&fleet.engines[0].1, "/standin/faults", &faults).await;
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -27,7 +27,7 @@
             ProgramCall { program: &program, sequence, idempotency_key: &key, content: &key };
         let address = &addresses[address_index.get()];
         let reply = if sequence % 3 == 0 {
-            let request = call.request(&http, address, ALPHA_KEY);
+            let request = call.service_request(&http, address, ALPHA_KEY);
             http.send(request, key.clone()).await
         } else {
             let (request, body) = call.model_request(&http, address, ALPHA_KEY);
@@ -97,7 +97,7 @@
     let program = fleet.program_owned_by(&fleet.nodes[0], ALPHA_KEY).await;
     let call = ProgramCall { program: &program, sequence: 1, idempotency_key: "k", content: "x" };
     let http = fleet.http.clone();
-    let request = call.request(&http, &fleet.nodes[0].listen, ALPHA_KEY);
+    let request = call.service_request(&http, &fleet.nodes[0].listen, ALPHA_KEY);
     let pending = ntex::rt::spawn(async move { http.send(request, "x").await });
     eventually("the call executes", async || (fleet.executions("k").await == 1).then_some(()))
         .await;
--- a/crates/daemon/tests/support/fleet.rs
+++ b/crates/daemon/tests/support/fleet.rs
@@ -316,7 +316,9 @@
         key: &str,
         call: &ProgramCall<'_>,
     ) -> Result<Reply, String> {
-        self.http.send(call.request(&self.http, &node.listen, key), call.content.to_owned()).await
+        self.http
+            .send(call.service_request(&self.http, &node.listen, key), call.content.to_owned())
+            .await
     }
 
     /// Reads the history of a program through a node.
@@ -382,7 +384,12 @@
     }
 
     /// Creates the request of a non-repeatable service call.
-    pub fn request(&self, http: &Http, listen: &str, key: &str) -> ntex::client::ClientRequest {
+    pub fn service_request(
+        &self,
+        http: &Http,
+        listen: &str,
+        key: &str,
+    ) -> ntex::client::ClientRequest {
         let request = http.request("POST", listen, "/v1/services/desk/checkout");
         self.headers(request.bearer_auth(key))
     }
