--- a/crates/coordination/tests/backends.rs
+++ b/crates/coordination/tests/backends.rs
@@ -232,8 +232,8 @@
 }
 
 /// Guards against herding on stale load reports. Nodes that see the same outdated loads all choose
-/// the server that was least loaded, which then rejects calls although a third of all slots would
-/// suffice.
+/// the server that was least loaded, which then rejects calls although fewer than half of all slots
+/// are needed.
 #[test]
 fn stale_loads_of_a_large_fleet_do_not_send_all_nodes_to_one_server() {
     let load = SimulatedLoad {
@@ -251,8 +251,8 @@
 }
 
 /// Guards against sessions that move from server to server. Each move away from a loaded server
-/// requires another prefill of the prompt, which adds load, so a session must not move to any
-/// server that looks idle.
+/// requires another prefill of the prompt, which adds load, so a session must move only to the next
+/// server in its ranking, not to an arbitrary one that looks idle.
 #[test]
 fn sessions_that_leave_a_loaded_server_do_not_keep_moving() {
     let load = SimulatedLoad {
@@ -300,8 +300,8 @@
     assert_eq!(choose(&placement, pause), first);
 }
 
-/// Guards against failed requests that must not run again. Some servers look healthy but reset
-/// connections; only requests that may run again should probe whether they have recovered.
+/// Guards against failures of non-repeatable requests at servers that look healthy but reset
+/// connections. Only repeatable requests may probe whether such a server has recovered.
 #[test]
 fn non_repeatable_requests_avoid_servers_that_have_not_recovered() {
     let servers = [entry("a"), entry("b")];
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -60,7 +60,7 @@
     Rc::new(Fleet::default()).add(rows, name)
 }
 
-/// Runs a test with a task set for release requests between nodes.
+/// Runs a test in a [`LocalSet`], because release requests spawn local tasks.
 async fn with_tasks(test: impl Future<Output = ()>) {
     LocalSet::new().run_until(test).await;
 }
@@ -132,7 +132,7 @@
     rows.set_faults(RowFaults { lose_answers: 1, ..RowFaults::default() });
     ledgers.reserve("p", TOKENS_MAX, 300).await.expect("the row shows that the write took effect");
     assert_eq!(rows.write_count(), 1);
-    ledgers.reserve("p", TOKENS_MAX, 300).await.expect("claimed ahead");
+    ledgers.reserve("p", TOKENS_MAX, 300).await.expect("covered by the existing claim");
     rows.set_faults(RowFaults { lose_writes: 1, ..RowFaults::default() });
     ledgers
         .reserve("p", TOKENS_MAX, 300)
@@ -151,7 +151,7 @@
     assert_eq!(rows.write_count(), 1);
     rows.set_faults(RowFaults { outage: true, ..RowFaults::default() });
     for _ in 0..2 {
-        ledgers.reserve("p", TOKENS_MAX, 5_000).await.expect("claimed ahead");
+        ledgers.reserve("p", TOKENS_MAX, 5_000).await.expect("covered by the existing claim");
     }
     let refused = ledgers.reserve("p", TOKENS_MAX, 5_000).await;
     assert!(matches!(refused, Err(ReserveError::Store { .. })), "{refused:?}");
@@ -230,7 +230,7 @@
         let (fleet, nodes) = Fleet::start(&rows, &["a", "b"]);
         nodes[0].reserve("p", TOKENS_MAX, 500).await.expect("fits");
         fleet.disconnect("a");
-        // Half of the 400 tokens not needed by its turn were claimed and are lost with the node.
+        // Node a claimed 300 tokens, 100 for its turn and half of the other 400; they are lost.
         for _ in 0..2 {
             nodes[1].reserve("p", TOKENS_MAX, 500).await.expect("fits beside the claim");
             nodes[1].settle("p", TOKENS_MAX, 100).await;
@@ -245,7 +245,7 @@
 async fn a_graceful_shutdown_releases_unused_claims() {
     let rows = MemoryRows::default();
     let (first, second) = (node(&rows, "a"), node(&rows, "b"));
-    first.reserve("p", TOKENS_MAX, 1_200).await.expect("fits, with turns ahead");
+    first.reserve("p", TOKENS_MAX, 1_200).await.expect("fits, with tokens for later turns");
     first.settle("p", TOKENS_MAX, 10).await;
     assert_eq!(first.release_unused_since(Duration::ZERO).await, 1);
     for _ in 0..11 {
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -22,7 +22,7 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// In every window at most burst + rate x length tokens are taken, whatever time is covered.
+    /// In every window at most burst + rate × length tokens are taken, whatever `covered_until` is.
     #[test]
     fn no_window_exceeds_burst_and_rate(
         rate_per_s in 0.1_f64..50.0,
--- a/crates/coordination/tests/usage.rs
+++ b/crates/coordination/tests/usage.rs
@@ -13,7 +13,7 @@
 
 const LIMITS: BucketLimits = BucketLimits { rate_per_s: 50.0, burst: 50.0 };
 const STEP: Duration = Duration::from_millis(10);
-/// A request that may wait 300 ms for its token.
+/// A request with 900 ms left until its deadline; it may wait a third, 300 ms, for its token.
 const CONTINUES: Step = Step::Continues { time_left: Duration::from_millis(900) };
 const REPORT_EVERY: u32 = 10;
 const WINDOW: Duration = Duration::from_secs(5);
@@ -227,7 +227,8 @@
 }
 
 /// Simulates a team whose limit was lowered far below the demand of its programs, and returns the
-/// number of finished programs.
+/// number of finished programs. If `marks_first_requests` is false, first requests are treated like
+/// later ones.
 fn programs_finished(marks_first_requests: bool, time_left: Duration) -> usize {
     const REQUESTS: u32 = 15;
     let mut random = StdRng::seed_from_u64(3);
@@ -267,11 +268,11 @@
     let time_left = Duration::from_millis(900);
     let with = programs_finished(true, time_left);
     let without = programs_finished(false, time_left);
-    println!("finished {with} programs, {without} without deferring new ones");
+    println!("finished {with} programs, {without} without refusing new ones first");
     // 30 s at 50 requests per second suffice for 100 programs of 15 requests. The baseline treats
     // all requests alike.
     assert!(with >= 80, "{with} finished");
-    assert!(with > without, "{with} finished, {without} without deferring new ones");
+    assert!(with > without, "{with} finished, {without} without refusing new ones first");
 }
 
 /// Guards against refusals within started programs, which waste the tokens that the programs have
--- a/crates/daemon/tests/answers.rs
+++ b/crates/daemon/tests/answers.rs
@@ -31,7 +31,7 @@
     Ok((text, false))
 }
 
-/// Returns the answer to each content when no fault is simulated.
+/// Returns the answer to each prompt while no fault is simulated.
 async fn undisturbed_answers(fleet: &Fleet, contents: &[String]) -> HashMap<String, String> {
     let mut answers = HashMap::new();
     for content in contents {
@@ -43,7 +43,7 @@
     answers
 }
 
-/// Returns options with which a stream on a silent connection is resumed after 700 ms.
+/// Returns fleet options that resume a stream after its connection has been silent for 700 ms.
 fn short_silence_options(nodes: usize) -> FleetOptions {
     let node_args = ["--engine-silence-ms", "700"].map(str::to_owned).to_vec();
     FleetOptions { nodes, node_args, ..FleetOptions::default() }
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Sends a call whose owner crashes or freezes at `crash_point`; returns the number of executions
-/// and the final status.
+/// Sends a call whose owner crashes (`STEP:abort`) or freezes (`STEP:stop`) at `crash_point`;
+/// returns the number of executions and the final status.
 async fn call_with_crashing_owner(crash_point: &str) -> (usize, u16) {
     let mut fleet = Fleet::start(FleetOptions::default()).await;
     let owner = fleet.add_crashing_node(crash_point).await;
--- a/crates/daemon/tests/budget.rs
+++ b/crates/daemon/tests/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets are enforced, and engines keep no memory for programs that have ended.
+//! Budgets are enforced, and engines free the cached prefixes of programs that have ended.
 
 mod support;
 
@@ -6,7 +6,8 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::{Reply, eventually};
 
-/// Message of the calls; each reserves the bytes of its message and its completion limit as tokens.
+/// Prompt of the calls. Each call reserves one token for each byte of its JSON message, plus
+/// its completion limit.
 const CALL_CONTENT: &str = "tokens=64 again";
 
 async fn open_program(fleet: &Fleet, node: usize, body: Value) -> String {
@@ -20,8 +21,8 @@
     fleet.model_call(&fleet.nodes[node], ALPHA_KEY, &call).await.ok()
 }
 
-/// Returns the tokens of the given programs in the engine's units: words of each prompt and the
-/// completion limit.
+/// Returns the most tokens that the engine can have spent on the given programs: one for each word
+/// of a prompt, as the engine counts them, plus the completion limit.
 async fn tokens_spent_at_engine(fleet: &Fleet, programs: &[&str]) -> u64 {
     let record = fleet.engine_record(0).await;
     let of_programs = record.iter().filter(|request| {
@@ -31,7 +32,7 @@
         let body: Value =
             serde_json::from_str(request["body"].as_str().expect("body")).expect("JSON");
         let prompt = body["messages"][0]["content"].as_str().expect("content");
-        prompt.split_whitespace().count() as u64 + body["max_tokens"].as_u64().expect("bound")
+        prompt.split_whitespace().count() as u64 + body["max_tokens"].as_u64().expect("max_tokens")
     });
     spent.sum()
 }
@@ -109,9 +110,9 @@
     assert!(spent <= 400, "{spent} tokens of 400");
 }
 
-/// Waits until the engine keeps no memory for `program`.
+/// Waits until the engine has freed the cached prefix of `program`.
 async fn wait_until_prefix_is_freed(fleet: &Fleet, program: &str) {
-    eventually("the engine has freed the memory", async || {
+    eventually("the engine has freed the prefix", async || {
         let memory = fleet.http.get_json(&fleet.engines[0].1, "/standin/memory").await;
         memory.get(program).is_none().then_some(())
     })
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -11,13 +11,16 @@
 /// Longest time from the acceptance of a version until it is in force on all nodes.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
-/// Returns the sample objects with a budget of `marker` tokens, which makes versions differ.
+/// Returns the sample objects with an unused budget of `marker` tokens, so that objects with
+/// different markers are different configurations.
 fn objects_with_marker(fleet: &Fleet, marker: u64) -> Value {
     let mut objects = fleet.sample_objects();
     objects["budget"]["marker"] = json!({ "program_tokens": marker });
     objects
 }
 
+/// Waits until `version` is in force on all nodes and checks that this was within
+/// [`MAX_PROPAGATION_TIME`] of `accepted`.
 async fn check_in_force_in_time(fleet: &Fleet, version: u64, accepted: Instant) {
     fleet.wait_config(version).await;
     assert!(accepted.elapsed() < MAX_PROPAGATION_TIME, "in force after {:?}", accepted.elapsed());
--- a/crates/daemon/tests/explain.rs
+++ b/crates/daemon/tests/explain.rs
@@ -50,12 +50,12 @@
     let line = wait_for_line(&site, &["event=refused", &format!("request={id} ")]).await;
     assert_eq!(field(&line, "kind"), "rate_limited");
     let message = field(&line, "message");
-    assert!(message.contains("share in reach 1.00"), "a node is out of reach: {message}");
+    assert!(message.contains("share in reach 1.00"), "a node was unreachable: {message}");
     let team = message.split(' ').nth(1).expect("the message names the team").to_owned();
-    // After a start of all nodes the limit holds half of the burst of two, so the refusal is
-    // correct once one request of the team was sent.
+    // After all nodes have started, a team can at first use half of its burst, here one request of
+    // two. The refusal is therefore correct if one request of the team was sent.
     let sent = matching_lines(&site, &["event=sent", &format!("team={team} ")]).len();
-    assert!(sent >= 1, "{sent} requests of {team} were sent before");
+    assert!(sent >= 1, "no request of {team} was sent before the refusal");
 }
 
 #[ntex::test]
@@ -80,10 +80,12 @@
     assert!(ran.iter().any(|run| Site::header(run, "request-id") == "call-lost"), "{ran:?}");
     assert!(
         matching_lines(&site, &["event=server_gone", &server]).is_empty(),
-        "the server was leaving"
+        "the server was removed"
     );
 }
 
+/// A killed node does not release the tokens that it claimed but did not use, so the budget is
+/// exhausted before all of its tokens are spent.
 #[ntex::test]
 async fn early_budget_exhaustion_is_traced_to_the_killed_node() {
     let mut site = Site::start(2).await;
@@ -128,7 +130,7 @@
         let marker = format!("event=claimant vm=node claimant={claimant}");
         node.process.lines().iter().any(|line| line.contains(&marker))
     });
-    assert_eq!(holder, Some(0), "the claim does not name the killed node");
+    assert_eq!(holder, Some(0), "the claim is not held by the killed node");
     let stopped = site.nodes[0].process.lines().iter().any(|line| line.contains("event=stopped"));
     assert!(!stopped, "the node shut down gracefully");
 }
--- a/crates/daemon/tests/front.rs
+++ b/crates/daemon/tests/front.rs
@@ -306,8 +306,8 @@
     );
 }
 
-/// Guards against a repeatable request that is sent again until its deadline, up to 100 times a
-/// second, because no server completes an answer.
+/// Guards against unlimited retries of a repeatable request, up to 100 a second until its deadline,
+/// while no server completes an answer.
 #[ntex::test]
 async fn request_whose_answers_are_all_lost_has_bounded_attempts() {
     let site = Site::start(1).await;
--- a/crates/daemon/tests/history.rs
+++ b/crates/daemon/tests/history.rs
@@ -44,8 +44,8 @@
     let other = fleet.program_owned_by(&fleet.nodes[2], ALPHA_KEY).await;
     let (mut own_answers, mut other_answers) = (Vec::new(), Vec::new());
     for sequence in 1..=6 {
-        // A slow platform widens the time between an answer that is given too early and its
-        // record, so that the kill falls into it.
+        // If an owner answered before the call was recorded, the delay would make the kill fall
+        // between the two.
         let kills = sequence % 2 == 0 && fleet.nodes.len() > 2;
         fleet.platform_faults(json!({ "delay_ms": if kills { 100 } else { 0 } })).await;
         let key = format!("k-{sequence}");
@@ -139,8 +139,8 @@
     assert_eq!(order, ["1", "2", "3", "4", "5", "6"].map(Some));
 }
 
-/// Guards against an answer that is given before it is recorded, or lost and generated again, when
-/// the platform fails.
+/// Guards against an owner that, during a platform outage, gives an answer before it is recorded,
+/// or discards the answer and runs the call again.
 #[ntex::test]
 async fn unrecorded_answer_is_withheld_until_it_is_recorded() {
     let node_args = ["--end-commit-wait-ms", "300"].map(str::to_owned).to_vec();
--- a/crates/daemon/tests/keys.rs
+++ b/crates/daemon/tests/keys.rs
@@ -88,8 +88,8 @@
     assert!(text.contains("[DONE]"), "the other team's stream was cut off");
 }
 
-/// Guards against a withdrawn key that still works on a node whose connections to the table are
-/// silent.
+/// Guards against a withdrawn key that still works on a node whose connections to the table stay
+/// open but carry no data.
 #[ntex::test]
 async fn withdrawal_reaches_a_node_without_table_access() {
     let mut fleet = Fleet::start(slow_engines()).await;
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -66,7 +66,8 @@
     result
 }
 
-/// Returns the largest excess of executions over `burst + rate * window`, over all windows.
+/// Returns by how many the executions after the first `skip` exceed `burst + rate * window` in the
+/// worst window.
 async fn largest_excess(fleet: &Fleet, skip: usize, rate_per_s: f64, burst: u32) -> f64 {
     let record = fleet.service_record().await;
     let mut times: Vec<f64> = record
@@ -90,8 +91,9 @@
 
 /// Longest time, in seconds, between taking a token and the execution that it permits.
 ///
-/// A token is taken by the node that receives the call, and the service executes the call after its
-/// start was recorded. A window may therefore contain executions whose tokens were taken earlier.
+/// The node that receives a call takes its token, but the service executes the call only after its
+/// start was recorded. A window of executions may therefore contain calls whose tokens were taken
+/// before the window.
 const MAX_TOKEN_TO_EXECUTION_S: f64 = 0.5;
 
 async fn check_bound(fleet: &Fleet, rate_per_s: f64, burst: u32) {
@@ -140,7 +142,7 @@
     assert!((2..=5).contains(&result.answered), "{result:?}");
 }
 
-/// Guards against a holder of the limit whose share is replaced by a full burst after it is killed.
+/// Guards against a killed node whose share of the limit is replaced by a full burst.
 #[ntex::test]
 async fn share_of_a_killed_node_is_recovered_without_an_extra_burst() {
     let mut fleet = limited_fleet(4, 1.0, 20).await;
@@ -153,8 +155,8 @@
     assert!(result.answered >= 3, "the killed holder's share was not recovered: {result:?}");
 }
 
-/// Guards against a holder that is frozen, loses its share to another node and, once it resumes,
-/// still takes tokens from that share.
+/// Guards against a node that is frozen, loses its share of the limit to another node and, once it
+/// resumes, still takes tokens from that share.
 #[ntex::test]
 async fn resumed_node_takes_no_tokens_from_its_former_share() {
     let fleet = limited_fleet(4, 1.0, 20).await;
--- a/crates/daemon/tests/support/fleet.rs
+++ b/crates/daemon/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Nodes of a test together with stand-ins for the platform, the engines and the service.
+//! Test nodes started without a subcommand, with stand-ins for the platform, the engines and the
+//! service.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 /// Key of team `beta`.
 pub const BETA_KEY: &str = "key-of-beta";
 
-/// Numbers and arguments of the processes of a fleet.
+/// Numbers of nodes and engines of a fleet, and extra arguments for each kind of process.
 pub struct FleetOptions {
     pub nodes: usize,
     pub engines: usize,
@@ -86,7 +87,7 @@
         fleet
     }
 
-    /// Starts a proxy in front of `target` that can simulate faults of the connections.
+    /// Starts a proxy in front of `target` that can simulate connection faults.
     ///
     /// Returns the process with its address, and the address that controls the faults.
     pub fn proxy(target: &str) -> ((ChildProcess, String), String) {
--- a/crates/daemon/tests/support/process.rs
+++ b/crates/daemon/tests/support/process.rs
@@ -22,7 +22,7 @@
         Self::spawn(Path::new(env!("CARGO_BIN_EXE_dandelionfront")), args, environment)
     }
 
-    /// Starts a stand-in, which is built as an example of the package of stand-ins.
+    /// Starts a stand-in, one of the examples of the package `dandelionfront-standins`.
     pub fn standin(name: &str, args: &[String]) -> Self {
         let daemon = Path::new(env!("CARGO_BIN_EXE_dandelionfront"));
         let folder = daemon.parent().expect("the daemon is in the target directory");
--- a/crates/daemon/tests/support/site.rs
+++ b/crates/daemon/tests/support/site.rs
@@ -1,4 +1,5 @@
-//! Nodes of a test together with a stand-in for the users' platform.
+//! Test nodes started with the subcommand `front`, with stand-ins for the users' platform: its
+//! metadata store and its runners.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
