--- a/crates/daemon/tests/support/fleet.rs
+++ b/crates/daemon/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Nodes of a test together with stand-ins for the platform, the engines and the service.
+//! Test nodes started without a subcommand, with stand-ins for the platform, the engines and the
+//! service.
 
 use std::time::Duration;
 
@@ -12,7 +13,7 @@
 /// Key of team `beta`.
 pub const BETA_KEY: &str = "key-of-beta";
 
-/// Numbers and arguments of the processes of a fleet.
+/// Numbers of nodes and engines of a fleet, and extra arguments for each kind of process.
 pub struct FleetOptions {
     pub nodes: usize,
     pub engines: usize,
@@ -86,7 +87,7 @@
         fleet
     }
 
-    /// Starts a proxy in front of `target` that can simulate faults of the connections.
+    /// Starts a proxy in front of `target` that can simulate connection faults.
     ///
     /// Returns the process with its address, and the address that controls the faults.
     pub fn proxy(target: &str) -> ((ChildProcess, String), String) {
@@ -316,7 +317,9 @@
         key: &str,
         call: &ProgramCall<'_>,
     ) -> Result<Reply, String> {
-        self.http.send(call.request(&self.http, &node.listen, key), call.content.to_owned()).await
+        self.http
+            .send(call.service_request(&self.http, &node.listen, key), call.content.to_owned())
+            .await
     }
 
     /// Reads the history of a program through a node.
@@ -382,7 +385,12 @@
     }
 
     /// Creates the request of a non-repeatable service call.
-    pub fn request(&self, http: &Http, listen: &str, key: &str) -> ntex::client::ClientRequest {
+    pub fn service_request(
+        &self,
+        http: &Http,
+        listen: &str,
+        key: &str,
+    ) -> ntex::client::ClientRequest {
         let request = http.request("POST", listen, "/v1/services/desk/checkout");
         self.headers(request.bearer_auth(key))
     }
