--- a/crates/standins/src/site/store.rs
+++ b/crates/standins/src/site/store.rs
@@ -21,7 +21,7 @@
 pub struct MetadataStore {
     rows: Mutex<RowTables>,
     faults: FaultInjector,
-    transactions: Mutex<u64>,
+    transaction_count: Mutex<u64>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -125,7 +125,7 @@
     if let Some(response) = store.faults.intercept().await {
         return response;
     }
-    *lock(&store.transactions) += 1;
+    *lock(&store.transaction_count) += 1;
     let Transaction { expected_rev, writes, remove } = transaction.into_inner();
     let expected: Vec<_> =
         expected_rev.into_iter().map(|entry| (entry.row.into_name(), entry.ver)).collect();
@@ -241,5 +241,5 @@
 }
 
 async fn get_stats(store: Shared) -> HttpResponse {
-    HttpResponse::Ok().json(&json!({ "transactions": *lock(&store.transactions) }))
+    HttpResponse::Ok().json(&json!({ "transactions": *lock(&store.transaction_count) }))
 }
