--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -68,7 +68,8 @@
     ) -> Result<(u16, Vec<u8>), CtlError> {
         let unreachable =
             |detail: String| UnreachableSnafu { node: self.address.clone(), detail }.build();
-        // `self.timeout` limits the whole exchange, and configurations and histories may be large.
+        // The client's own timeouts are disabled because `self.timeout` limits the whole exchange,
+        // and its payload limit because configurations and histories may be large.
         let client = Client::builder()
             .connector::<()>(Connector::new())
             .disable_timeout()
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -27,7 +27,7 @@
         /// All faults found.
         problems: Vec<Problem>,
     },
-    /// The request could not be sent, or no complete response arrived in time.
+    /// The request could not be sent, or receiving the complete response failed or timed out.
     #[snafu(display(
         "the node at {node} did not answer ({detail}); check --node or try another node"
     ))]
@@ -43,7 +43,7 @@
         /// Message sent by the node, which normally includes the remedy.
         message: String,
     },
-    /// The node's response could not be decoded.
+    /// The node's response could not be decoded, or the request body could not be encoded.
     #[snafu(display(
         "the node's response is malformed ({source}); use the same release of dandelionctl and node"
     ))]
--- a/crates/standins/src/clock.rs
+++ b/crates/standins/src/clock.rs
@@ -13,8 +13,8 @@
 
 /// Clock that advances only when a task sleeps or a test calls [`StepClock::advance`].
 ///
-/// Each sleep first yields to other tasks and then advances the clock by its whole duration, so
-/// concurrent sleeps add up. Unix time starts at 0 and equals monotonic time.
+/// Each sleep first yields to other tasks and then advances the clock by its whole duration, so two
+/// concurrent sleeps of 1 s advance it by 2 s. Unix time starts at 0 and equals monotonic time.
 #[derive(Debug, Clone, Default)]
 pub struct StepClock(Rc<Cell<Duration>>);
 
--- a/crates/standins/src/engine/api.rs
+++ b/crates/standins/src/engine/api.rs
@@ -56,12 +56,12 @@
     pub cached_tokens: u64,
 }
 
-/// Recent load reports with their times in Unix milliseconds, to be served with a delay.
+/// Recent load reports with their times in Unix milliseconds, kept to report load with a lag.
 #[derive(Debug, Default)]
 pub struct LoadHistory(VecDeque<(u64, LoadReport)>);
 
-/// Order from a scheduler, of which only the fencing number is checked: an order is refused if its
-/// number is lower than the highest one seen.
+/// Order from a scheduler; only its fencing number is read. Unless `ignore_fencing` is set, orders
+/// with a number lower than the highest one seen are refused.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Order {
     fencing_number: u64,
@@ -281,9 +281,10 @@
     let report = LoadReport { active, waiting, slots: engine.settings.slots, cached_tokens };
     let mut history = lock(&engine.load_history);
     let now = unix_ms();
-    // Load is sampled only on request, so the first report is served without a delay.
     history.0.push_back((now, report));
     let visible_until = now.saturating_sub(engine.settings.load_lag_ms);
+    // Returns the newest report that is at least `load_lag_ms` old. There may be none, because load
+    // is sampled only on request; the oldest report is returned then.
     while history.0.len() > 1 && history.0[1].0 <= visible_until {
         history.0.pop_front();
     }
--- a/crates/standins/src/engine/cache.rs
+++ b/crates/standins/src/engine/cache.rs
@@ -12,16 +12,16 @@
 /// Events whose numbers are multiples of this are not published, to simulate lost events.
 const LOSE_EVERY_NTH_EVENT: u64 = 7;
 
-/// Change of a program's cached prefix by an insertion or release, published to schedulers.
+/// Insertion or release of a program's blocks, published to schedulers except for simulated losses.
 ///
 /// Programs whose blocks are evicted by another program's insertion get no event.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Sequence number; a gap is an event that was not published.
+    /// Sequence number, from 1; a missing number means that an event was not published.
     pub number: u64,
-    /// Program whose prefix changed.
+    /// Program whose blocks were inserted or released.
     pub program: String,
-    /// Tokens of the program's prefix that are cached after the change.
+    /// Tokens in all blocks cached for the program after the change.
     pub held_tokens: u64,
     /// Time of the change, since the Unix epoch.
     #[serde(default)]
@@ -125,7 +125,7 @@
     }
 }
 
-/// Returns a hash for each whole block of `prompt`, which also covers all preceding blocks.
+/// Returns one hash for each whole block of `prompt`; each hash also covers all preceding blocks.
 fn block_hashes(prompt: &[&str]) -> Vec<u64> {
     let mut seed = 0;
     let whole_blocks = prompt.chunks_exact(BLOCK_TOKENS);
--- a/crates/standins/src/engine/text.rs
+++ b/crates/standins/src/engine/text.rs
@@ -10,8 +10,8 @@
     prompt.split_whitespace().collect()
 }
 
-/// Returns the number of tokens to generate: N of the last word `tokens=N` in the prompt, or the
-/// default, limited to at least 1 and at most `max_tokens`.
+/// Returns the number of tokens to generate: the N of the last word `tokens=N` in the prompt, or
+/// the default. The result is at most `max_tokens`, but never less than 1.
 pub fn completion_tokens(prompt: &str, max_tokens: u64) -> u64 {
     let requested = prompt.split_whitespace().rev().find_map(|word| word.strip_prefix("tokens="));
     let requested =
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -14,8 +14,8 @@
 pub struct StoreFaults {
     /// Whether to answer every call with 503, except those that control the stand-in.
     pub outage: bool,
-    /// Delay before each call is executed and before each poll of a waiting feed call, in
-    /// milliseconds.
+    /// Delay before each call is executed, in milliseconds. A call that waits for changes of rows
+    /// is delayed again before each check for changes.
     pub delay_ms: u32,
     /// Number of upcoming transactions to execute but answer with 504 on a connection that is then
     /// closed.
--- a/crates/standins/src/http.rs
+++ b/crates/standins/src/http.rs
@@ -11,25 +11,26 @@
 use ntex::web::{self, App, HttpServer};
 use serde::{Deserialize, Serialize};
 
-/// A request that a stand-in executed.
+/// A request that a stand-in accepted for execution.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordedRequest {
     /// Position among the recorded requests, from 1.
     pub number: u64,
     /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Path and query; engines record only the path.
     pub path: String,
     /// Headers by lowercase name; of a repeated header, the last value.
     pub headers: BTreeMap<String, String>,
     /// Body as text.
     pub body: String,
-    /// Time at which the execution began, since the Unix epoch.
+    /// Time at which the request was recorded, since the Unix epoch; an engine request may then
+    /// still wait for a slot.
     pub started_unix_ms: u64,
 }
 
 impl RecordedRequest {
-    /// Creates the record of a request that is about to be executed.
+    /// Creates the record of a request that was accepted for execution.
     #[must_use]
     pub fn new(number: u64, method: &str, path: &str, headers: &HeaderMap, body: &Bytes) -> Self {
         let text = |value: &ntex::http::header::HeaderValue| {
@@ -93,6 +94,7 @@
     Ok(address)
 }
 
+/// Maximum size of request bodies read as bytes; JSON bodies have the default limit of ntex.
 const BODY_MAX_BYTES: usize = 64 * 1024 * 1024;
 
 /// Prints the bound address to standard output and blocks until the process is killed.
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Servers keep their state in memory and handle HTTP requests on one worker thread. Engines,
 //! services and runners (backend servers of the users' platform) record the requests that they
-//! execute, so that tests can count executions and check that callers' keys were not forwarded.
+//! accept, so that tests can count executions and check that callers' keys were not forwarded.
 //! The examples of this package run stand-ins as programs. [`StepClock`], [`MemoryRows`] and
 //! [`PlatformState`] are used in process, without HTTP.
 
--- a/crates/standins/src/rows.rs
+++ b/crates/standins/src/rows.rs
@@ -85,9 +85,10 @@
     }
 
     /// Returns the latest change of each row of `table` that changed after `version`, or `None` if
-    /// that part of the history was truncated.
+    /// changes after `version` were truncated.
     ///
-    /// Of several rows of `table` changed by one transaction, only the last one is returned.
+    /// Limitation: changes are keyed by version, so of several rows of `table` changed by one
+    /// transaction, only the last one is returned.
     #[must_use]
     pub fn changes(&self, table: &str, version: u64) -> Option<Vec<RowChange>> {
         if version < self.truncated_version {
@@ -118,7 +119,7 @@
         self.truncated_version = self.version;
     }
 
-    /// Returns the version of the latest transaction.
+    /// Returns the version of the latest committed transaction, or 0 if there is none.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.version
--- a/crates/standins/src/site/mod.rs
+++ b/crates/standins/src/site/mod.rs
@@ -1,5 +1,6 @@
 //! Stand-ins for the users' platform, on which the daemon's `front` module runs: backend server
-//! and metadata store.
+//! and metadata store. [`crate::platform`] stands in for a different interface, the services of
+//! [`dandelionfront_coordination::platform`].
 
 pub mod runner;
 pub mod store;
--- a/crates/standins/src/site/runner.rs
+++ b/crates/standins/src/site/runner.rs
@@ -18,7 +18,8 @@
 /// Settings of the backend server stand-in.
 #[derive(Debug, Clone)]
 pub struct RunnerSettings {
-    /// Instance identifier; requests whose `expect-instance` header differs are refused with 421.
+    /// Instance identifier; requests whose `expect-instance` header is absent or differs are
+    /// refused with 421.
     pub id: String,
     /// Number of events in a complete stream.
     pub event_count: u64,
@@ -37,7 +38,7 @@
     /// Number of upcoming requests to execute before closing the connection without a complete
     /// answer.
     pub lose_answers: u32,
-    /// Number of upcoming requests to answer with a wrong `request-id` header, `other`.
+    /// Number of upcoming requests to answer with `request-id: other` instead of their own id.
     pub answer_foreign: u32,
 }
 
@@ -171,8 +172,8 @@
             }
             sleep(Millis(runner.settings.delay_ms)).await;
             if is_cut && id == last_id {
-                // Sends half of the event. The next id is above `last_id`, which ends `events`;
-                // `cut` then closes the connection.
+                // Sends half of the event. An id above `last_id` then ends `events`, and `cut`
+                // closes the connection.
                 let half = Bytes::from(format!("id: {id}\nda"));
                 return Some((Ok(half), u64::MAX - 1));
             }
--- a/crates/standins/src/site/store.rs
+++ b/crates/standins/src/site/store.rs
@@ -21,6 +21,7 @@
 pub struct MetadataStore {
     rows: Mutex<RowTables>,
     faults: FaultInjector,
+    /// Number of transactions received outside outages, including refused ones.
     transaction_count: Mutex<u64>,
 }
 
@@ -39,6 +40,7 @@
 struct Expectation {
     #[serde(flatten)]
     row: RowKey,
+    /// Version that the row must have; 0 if it must be absent.
     ver: u64,
 }
 
@@ -215,8 +217,10 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Unconditional write that a test makes in place of the operator or a backend server; without
-/// `value`, the row is removed.
+/// Unconditional write by a test that acts as the operator or a backend server.
+///
+/// The row's partition is the empty string. `value` is stored as JSON text; if it is absent or
+/// null, the row is removed.
 #[derive(Debug, Deserialize)]
 struct DirectWrite {
     table: String,
