--- a/crates/standins/src/site/store.rs
+++ b/crates/standins/src/site/store.rs
@@ -21,7 +21,8 @@
 pub struct MetadataStore {
     rows: Mutex<RowTables>,
     faults: FaultInjector,
-    transactions: Mutex<u64>,
+    /// Number of transactions received outside outages, including refused ones.
+    transaction_count: Mutex<u64>,
 }
 
 #[derive(Debug, Deserialize)]
@@ -39,6 +40,7 @@
 struct Expectation {
     #[serde(flatten)]
     row: RowKey,
+    /// Version that the row must have; 0 if it must be absent.
     ver: u64,
 }
 
@@ -125,7 +127,7 @@
     if let Some(response) = store.faults.intercept().await {
         return response;
     }
-    *lock(&store.transactions) += 1;
+    *lock(&store.transaction_count) += 1;
     let Transaction { expected_rev, writes, remove } = transaction.into_inner();
     let expected: Vec<_> =
         expected_rev.into_iter().map(|entry| (entry.row.into_name(), entry.ver)).collect();
@@ -215,8 +217,10 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Unconditional write that a test makes in place of the operator or a backend server; without
-/// `value`, the row is removed.
+/// Unconditional write by a test that acts as the operator or a backend server.
+///
+/// The row's partition is the empty string. `value` is stored as JSON text; if it is absent or
+/// null, the row is removed.
 #[derive(Debug, Deserialize)]
 struct DirectWrite {
     table: String,
@@ -241,5 +245,5 @@
 }
 
 async fn get_stats(store: Shared) -> HttpResponse {
-    HttpResponse::Ok().json(&json!({ "transactions": *lock(&store.transactions) }))
+    HttpResponse::Ok().json(&json!({ "transactions": *lock(&store.transaction_count) }))
 }
