--- a/crates/coordination/tests/backends.rs
+++ b/crates/coordination/tests/backends.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_load_of_other_nodes_counts_until_they_are_unreachable() {
+fn the_load_of_another_node_counts_until_it_reports_none() {
     let servers = [entry("a"), entry("b")];
     let mut placement = Placement::default();
     let choose = |placement: &Placement| {
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_failed_server_is_avoided_for_longer_each_time_and_trusted_after_an_answer() {
+fn a_failed_server_is_avoided_for_longer_each_time_until_it_answers() {
     let servers = [entry("a"), entry("b")];
     let mut placement = Placement::default();
     let choose = |placement: &Placement, now| {
@@ -411,7 +411,7 @@
 }
 
 #[test]
-fn a_stream_is_cut_into_whole_events_however_it_arrives() {
+fn a_stream_is_split_into_whole_events_whatever_its_chunk_size() {
     let stream = b"id: 1\ndata: a\n\nid: 2\r\ndata: b\r\ndata: c\r\n\r\n: note\n\nid: x\ndata: d\n\nid: 3\nda";
     for size in 1..stream.len() {
         let mut splitter = EventSplitter::default();
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -43,9 +43,9 @@
     }
 
     fn add(self: &Rc<Self>, rows: &MemoryRows, name: &str) -> Rc<Ledgers> {
-        let holders = Rc::clone(self) as Rc<dyn ReleaseRequester>;
+        let requester = Rc::clone(self) as Rc<dyn ReleaseRequester>;
         let clock = Rc::new(self.clock.clone());
-        let node = Rc::new(Ledgers::new(Rc::new(rows.clone()), clock, name.to_owned(), holders));
+        let node = Rc::new(Ledgers::new(Rc::new(rows.clone()), clock, name.to_owned(), requester));
         self.nodes.borrow_mut().push((name.to_owned(), Rc::clone(&node)));
         node
     }
@@ -144,7 +144,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn an_ample_budget_serves_turns_without_a_write_and_through_an_outage() {
+async fn a_claim_covers_later_turns_without_a_write_even_in_an_outage() {
     let rows = MemoryRows::default();
     let ledgers = node(&rows, "a");
     ledgers.reserve("p", TOKENS_MAX, 5_000).await.expect("fits");
--- a/crates/coordination/tests/turns.rs
+++ b/crates/coordination/tests/turns.rs
@@ -21,16 +21,16 @@
     Turns::new(Rc::new(rows.clone()), 1 << 20)
 }
 
-async fn keep_three_turns(turns: &Turns) {
-    turns.store("t1", record(&[], b"in1 ", b"out1\n")).await.expect("kept");
-    turns.store("t2", record(&["t1"], b"in2 ", b"out2\n")).await.expect("kept");
-    turns.store("t3", record(&["t1", "t2"], b"\xff\x00", b"out3\n")).await.expect("kept");
+async fn store_three_turns(turns: &Turns) {
+    turns.store("t1", record(&[], b"in1 ", b"out1\n")).await.expect("stored");
+    turns.store("t2", record(&["t1"], b"in2 ", b"out2\n")).await.expect("stored");
+    turns.store("t3", record(&["t1", "t2"], b"\xff\x00", b"out3\n")).await.expect("stored");
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn a_node_with_an_empty_cache_assembles_the_whole_chain_in_order() {
     let rows = MemoryRows::default();
-    keep_three_turns(&node(&rows)).await;
+    store_three_turns(&node(&rows)).await;
     let chain = node(&rows).chain("alpha", "t3").await.expect("known");
     let prompt = assemble_prompt(&chain, b"new");
     assert_eq!(prompt, b"in1 out1\nin2 out2\n\xff\x00out3\nnew");
@@ -40,17 +40,17 @@
 async fn two_turns_may_continue_from_the_same_one() {
     let rows = MemoryRows::default();
     let turns = node(&rows);
-    keep_three_turns(&turns).await;
-    turns.store("t4", record(&["t1"], b"in4 ", b"out4\n")).await.expect("kept");
+    store_three_turns(&turns).await;
+    turns.store("t4", record(&["t1"], b"in4 ", b"out4\n")).await.expect("stored");
     let chain = node(&rows).chain("alpha", "t4").await.expect("known");
     assert_eq!(assemble_prompt(&chain, b"x"), b"in1 out1\nin4 out4\nx");
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn turns_of_other_teams_and_unknown_turns_do_not_exist() {
+async fn missing_turns_and_turns_of_other_teams_are_reported_as_unknown() {
     let rows = MemoryRows::default();
     let turns = node(&rows);
-    keep_three_turns(&turns).await;
+    store_three_turns(&turns).await;
     for (team, turn) in [("beta", "t3"), ("alpha", "t9")] {
         let error = turns.chain(team, turn).await.expect_err("not this team's");
         assert!(matches!(error, TurnError::Unknown { .. }), "{error:?}");
@@ -60,7 +60,7 @@
 #[tokio::test(flavor = "current_thread")]
 async fn a_turn_that_cannot_be_read_in_an_outage_is_not_reported_as_unknown() {
     let rows = MemoryRows::default();
-    keep_three_turns(&node(&rows)).await;
+    store_three_turns(&node(&rows)).await;
     rows.set_faults(RowFaults { outage: true, ..RowFaults::default() });
     let error = node(&rows).chain("alpha", "t3").await.expect_err("unreadable");
     assert!(matches!(error, TurnError::Store { .. }), "{error:?}");
@@ -78,10 +78,10 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_full_cache_drops_the_oldest_turns_and_reads_them_again() {
+async fn turns_evicted_from_a_full_cache_are_read_from_the_store() {
     let rows = MemoryRows::default();
     let turns = Turns::new(Rc::new(rows.clone()), 700);
-    keep_three_turns(&turns).await;
+    store_three_turns(&turns).await;
     let chain = turns.chain("alpha", "t3").await.expect("read from the store");
     assert_eq!(chain.len(), 3);
 }
--- a/crates/coordination/tests/usage.rs
+++ b/crates/coordination/tests/usage.rs
@@ -14,8 +14,8 @@
 const LIMITS: BucketLimits = BucketLimits { rate_per_s: 50.0, burst: 50.0 };
 const STEP: Duration = Duration::from_millis(10);
 /// A request with 900 ms left until its deadline; it may wait a third, 300 ms, for its token.
-const CONTINUES: RequestClass = RequestClass::Other { time_left: Duration::from_millis(900) };
-const REPORT_EVERY: u32 = 10;
+const LATER_REQUEST: RequestClass = RequestClass::Other { time_left: Duration::from_millis(900) };
+const STEPS_PER_REPORT: u32 = 10;
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// Nodes that report to each other every 100 ms, except across a partition.
@@ -42,7 +42,7 @@
     fn advance(&mut self) {
         self.now += STEP;
         self.steps += 1;
-        if !self.steps.is_multiple_of(REPORT_EVERY) {
+        if !self.steps.is_multiple_of(STEPS_PER_REPORT) {
             return;
         }
         for sender in 0..self.nodes.len() {
@@ -95,7 +95,7 @@
         fleet.advance();
         for _ in 0..4 {
             let node = random.random_range(0..13);
-            fleet.take(node, CONTINUES);
+            fleet.take(node, LATER_REQUEST);
         }
     }
     let sent = fleet.sent_at.len();
@@ -112,7 +112,7 @@
     for step in 0..2_000 {
         fleet.advance();
         // 40 requests per second, all through one node.
-        if step % 5 < 2 && !fleet.take(3, CONTINUES) {
+        if step % 5 < 2 && !fleet.take(3, LATER_REQUEST) {
             refused += 1;
         }
     }
@@ -133,7 +133,7 @@
         fleet.advance();
         for _ in 0..4 {
             let node = random.random_range(0..12);
-            fleet.take(node, CONTINUES);
+            fleet.take(node, LATER_REQUEST);
         }
     }
     let busiest = fleet.busiest_window();
@@ -186,7 +186,7 @@
         };
         HashMap::from([(team, admitted)])
     };
-    limiter.take(team, LIMITS, CONTINUES, now).expect("full");
+    limiter.take(team, LIMITS, LATER_REQUEST, now).expect("full");
     limiter.note_report("n1", 1, counts(0), now);
     // Two reports were delayed by 300 ms and arrive within 0.1 ms of each other.
     now += Duration::from_millis(300);
@@ -202,7 +202,7 @@
     let mut fleet = Fleet::new(4);
     for _ in 0..1_000 {
         fleet.advance();
-        fleet.take(0, CONTINUES);
+        fleet.take(0, LATER_REQUEST);
     }
     // The bucket is empty, so a new node must not start with a burst of its own.
     let mut fresh = UsageLimiter::default();
@@ -211,7 +211,7 @@
     fresh.note_report("n0", 1, spent, fleet.now);
     fresh.note_report("n1", 1, report, fleet.now);
     let team = team_hash("alpha");
-    let admitted = (0..50).filter(|_| fresh.take(team, LIMITS, CONTINUES, fleet.now).is_ok());
+    let admitted = (0..50).filter(|_| fresh.take(team, LIMITS, LATER_REQUEST, fleet.now).is_ok());
     // 15 tokens accrue within the maximum wait of 300 ms.
     assert!(admitted.count() <= 16);
 }
@@ -249,9 +249,9 @@
                 continue;
             }
             let is_first = done == 0 && marks_first_requests;
-            let place =
+            let class =
                 if is_first { RequestClass::NewProgram } else { RequestClass::Other { time_left } };
-            let is_sent = fleet.take(random.random_range(0..13), place);
+            let is_sent = fleet.take(random.random_range(0..13), class);
             match done + u32::from(is_sent) {
                 REQUESTS => finished += 1,
                 // A program with a refused request is abandoned.
@@ -390,9 +390,9 @@
                 let taken = fleet.nodes[node].take(team, limits, program.class(), fleet.now);
                 let Ok(wait) = taken else {
                     let pause = Duration::from_millis(random.random_range(100..400));
-                    let is_lost = program.refuse(pause);
-                    result.abandoned += u32::from(is_lost && program.has_started);
-                    return !is_lost;
+                    let is_abandoned = program.refuse(pause);
+                    result.abandoned += u32::from(is_abandoned && program.has_started);
+                    return !is_abandoned;
                 };
                 let has_ended = program.advance(wait, fleet.now, random.random_range(0..4));
                 let is_late = program.waited > program.waited_max;
@@ -409,7 +409,7 @@
 /// bucket for a team that it sees for the first time, too many programs would start, and few would
 /// finish in time.
 #[test]
-fn a_limited_team_finishes_as_much_through_many_nodes_as_through_few() {
+fn many_nodes_finish_almost_as_many_programs_of_a_limited_team_as_few() {
     let simulate = |nodes| {
         let team = LimitedTeam { nodes, rate_per_s: 20.0, turns_max: 7, demand: 1.5 };
         let result = team.simulate();
--- a/crates/daemon/tests/at_most_once.rs
+++ b/crates/daemon/tests/at_most_once.rs
@@ -64,7 +64,7 @@
 }
 
 #[ntex::test]
-async fn call_never_runs_if_owner_is_killed_before_dispatch() {
+async fn call_does_not_run_but_has_unknown_outcome_if_owner_is_killed_before_dispatch() {
     assert_eq!(call_with_crashing_owner("started:abort").await, (0, 409));
 }
 
@@ -84,7 +84,7 @@
 }
 
 #[ntex::test]
-async fn call_never_runs_if_owner_is_frozen_before_dispatch() {
+async fn call_does_not_run_but_has_unknown_outcome_if_owner_is_frozen_before_dispatch() {
     assert_eq!(call_with_crashing_owner("started:stop").await, (0, 409));
 }
 
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -146,7 +146,7 @@
         Some(())
     })
     .await;
-    check_only_second_engine(&fleet).await;
+    check_only_second_engine_is_called(&fleet).await;
 }
 
 #[ntex::test]
@@ -156,10 +156,10 @@
     fleet.http.put_json(&fleet.platform_address, "/v1/vms", &vms).await;
     // A leaving VM must receive no new calls after three seconds.
     fleet.pause(Duration::from_secs(3)).await;
-    check_only_second_engine(&fleet).await;
+    check_only_second_engine_is_called(&fleet).await;
 }
 
-async fn check_only_second_engine(fleet: &Fleet) {
+async fn check_only_second_engine_is_called(fleet: &Fleet) {
     let before = fleet.engine_record(0).await.len();
     for index in 0..10 {
         let node = &fleet.nodes[index % 2];
--- a/crates/daemon/tests/path.rs
+++ b/crates/daemon/tests/path.rs
@@ -12,7 +12,7 @@
 }
 
 #[ntex::test]
-async fn program_runs_through_two_nodes() {
+async fn calls_forwarded_to_the_owner_run_once_and_are_recorded() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let (edge, owner) = (&fleet.nodes[0], &fleet.nodes[1]);
     let program = fleet.program_owned_by(owner, ALPHA_KEY).await;
