--- a/crates/coordination/tests/backends.rs
+++ b/crates/coordination/tests/backends.rs
@@ -1,4 +1,5 @@
-//! Backend servers: list, placement, avoidance after failures, routes and freshness.
+//! Tests of the server list, placement, avoidance after failures, routing, freshness of the
+//! configuration and the splitting of streams into events.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -146,6 +147,7 @@
     placement.set_peer_load("n1", load.clone());
     placement.set_peer_load("n2", load);
     assert_ne!(choose(&placement), first);
+    // A newer report of a node replaces its previous one.
     placement.set_peer_load("n1", Vec::new());
     assert_ne!(choose(&placement), first);
     placement.set_peer_load("n2", Vec::new());
@@ -247,7 +249,10 @@
     let two_choices = load.simulate(PlacementPolicy::TwoChoices);
     println!("{two_choices:?}, least loaded {least_loaded:?}");
     assert_eq!(two_choices.rejected, 0);
-    assert!(least_loaded.rejected > 0, "the baseline shows herding");
+    assert!(
+        least_loaded.rejected > 0,
+        "the baseline shows no herding, so the simulation proves nothing"
+    );
 }
 
 /// Guards against sessions that move from server to server. Each move away from a loaded server
@@ -321,7 +326,7 @@
     assert_eq!(choose(&placement, false, pause), first);
 }
 
-/// Guards against every node of a fleet having to observe a failure of the same server itself.
+/// Guards against nodes that learn of a failed server only from failures of their own requests.
 #[test]
 fn a_server_that_two_other_nodes_avoid_is_avoided() {
     let servers = [entry("a"), entry("b")];
--- a/crates/coordination/tests/ledger.rs
+++ b/crates/coordination/tests/ledger.rs
@@ -9,6 +9,7 @@
 use dandelionfront_standins::{MemoryRows, StepClock};
 use tokio::task::LocalSet;
 
+/// Maximum number of tokens of a turn.
 const TOKENS_MAX: u64 = 100;
 const TURN_DURATION: Duration = Duration::from_millis(300);
 
@@ -197,7 +198,7 @@
                 node.end_turn(&program, TOKENS_MAX, 55).await;
             }
         }
-        assert!(!fleet.release_requests.borrow().is_empty(), "release requests were sent");
+        assert!(!fleet.release_requests.borrow().is_empty(), "no release request was sent");
     })
     .await;
 }
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Transfers never increase the sum of the shares or mark a transferred share as original.
+    /// Transfers never increase the sum of the shares, and only nodes of the initial split hold
+    /// shares that are marked as original.
     #[test]
     fn transfers_never_increase_the_total(
         holders in 1_usize..6,
--- a/crates/coordination/tests/usage.rs
+++ b/crates/coordination/tests/usage.rs
@@ -13,9 +13,11 @@
 
 const LIMITS: BucketLimits = BucketLimits { rate_per_s: 50.0, burst: 50.0 };
 const STEP: Duration = Duration::from_millis(10);
-/// A request with 900 ms left until its deadline; it may wait a third, 300 ms, for its token.
+/// A request of a started program with 900 ms left until its deadline. It may wait a third of that,
+/// 300 ms, for its token.
 const LATER_REQUEST: RequestClass = RequestClass::Other { time_left: Duration::from_millis(900) };
 const STEPS_PER_REPORT: u32 = 10;
+/// Length of the windows in which sent requests are counted.
 const WINDOW: Duration = Duration::from_secs(5);
 
 /// Nodes that report to each other every 100 ms, except across a partition.
@@ -84,7 +86,8 @@
     }
 }
 
-/// Maximum requests per window: rate and burst with a tolerance of a tenth and 20 requests.
+/// Maximum number of requests in a window: the 300 that rate and burst allow, plus a tolerance of
+/// 10 % and 20 requests.
 const WINDOW_MAX: usize = 350;
 
 #[test]
@@ -102,7 +105,7 @@
     let busiest = fleet.busiest_window();
     assert!(busiest <= WINDOW_MAX, "{busiest} in a window");
     // 20 s at 50 requests per second, plus the burst.
-    assert!(sent >= 1_000, "only {sent} of 1050 were used");
+    assert!(sent >= 1_000, "only {sent} of 1050 requests were sent");
 }
 
 #[test]
--- a/crates/daemon/tests/budget.rs
+++ b/crates/daemon/tests/budget.rs
@@ -6,8 +6,8 @@
 use support::fleet::{ALPHA_KEY, Fleet, FleetOptions, ProgramCall};
 use support::http::{Reply, eventually};
 
-/// Prompt of the calls. Each call reserves one token for each byte of its JSON message, plus
-/// its completion limit.
+/// Prompt of the calls; `tokens=64` makes the stand-in engine generate 64 tokens. A call reserves
+/// one token for each byte of its JSON message, plus its completion limit.
 const CALL_CONTENT: &str = "tokens=64 again";
 
 async fn open_program(fleet: &Fleet, node: usize, body: Value) -> String {
@@ -77,8 +77,8 @@
     assert!((1..=500).contains(&spent), "{spent} tokens of 500");
 }
 
-/// Guards against a new owner that gives out again the tokens that a call in flight has reserved at
-/// the killed owner.
+/// Guards against a new owner that ignores the tokens that the killed owner had reserved for a call
+/// in flight.
 #[ntex::test]
 async fn owner_killed_during_a_call_does_not_overspend_the_budget() {
     let engine_args = ["--token-interval-ms", "20"].map(str::to_owned).to_vec();
--- a/crates/daemon/tests/config.rs
+++ b/crates/daemon/tests/config.rs
@@ -126,6 +126,7 @@
 async fn invalid_objects_are_refused_and_change_nothing() {
     let fleet = Fleet::start(FleetOptions::default()).await;
     let mut objects = fleet.sample_objects();
+    // The model name is misspelt, the fallbacks form a cycle and the burst is zero.
     objects["route"]["geo"]["model"] = json!("geo-lmm");
     objects["route"]["a"] = json!({ "model": "geo-llm", "open": true, "fallback": "b" });
     objects["route"]["b"] = json!({ "model": "geo-llm", "open": true, "fallback": "a" });
--- a/crates/daemon/tests/explain.rs
+++ b/crates/daemon/tests/explain.rs
@@ -52,8 +52,8 @@
     let message = field(&line, "message");
     assert!(message.contains("share in reach 1.00"), "a node was unreachable: {message}");
     let team = message.split(' ').nth(1).expect("the message names the team").to_owned();
-    // After all nodes have started, a team can at first use half of its burst, here one request of
-    // two. The refusal is therefore correct if one request of the team was sent.
+    // Right after all nodes have started, a team can use only half of its burst, here one of two
+    // requests, so a refusal is correct once one request was sent.
     let sent = matching_lines(&site, &["event=sent", &format!("team={team} ")]).len();
     assert!(sent >= 1, "no request of {team} was sent before the refusal");
 }
--- a/crates/daemon/tests/front.rs
+++ b/crates/daemon/tests/front.rs
@@ -306,8 +306,8 @@
     );
 }
 
-/// Guards against unlimited retries of a repeatable request, up to 100 a second until its deadline,
-/// while no server completes an answer.
+/// Guards against retrying a repeatable request, up to 100 times a second, until its deadline while
+/// no server completes an answer.
 #[ntex::test]
 async fn request_whose_answers_are_all_lost_has_bounded_attempts() {
     let site = Site::start(1).await;
@@ -360,7 +360,7 @@
     }
 }
 
-/// Guards against a node that stops serving because only its own connections to the store fail.
+/// Guards against a node that stops serving when it cannot reach the store but other nodes can.
 #[ntex::test]
 async fn node_without_store_access_uses_the_store_through_another_node() {
     let mut site = Site::start(1).await;
@@ -397,7 +397,8 @@
 #[ntex::test]
 async fn disconnected_caller_ends_its_stream_at_the_engine() {
     let site = Site::start(1).await;
-    // The engine takes a second for each event, so the stream still runs when the caller leaves.
+    // The engine takes a second for each event, so the stream still runs when the caller
+    // disconnects.
     let slow = site.start_slow_engine().await;
     let call = Call { id: "t-1", path: "/stream/talk/a", ..Call::default() };
     let (request, http) = (site.request(0, &call), site.http.clone());
@@ -407,7 +408,7 @@
     })
     .await;
     running.cancel();
-    eventually("the node notices that the caller has gone", async || {
+    eventually("the node notices that the caller has disconnected", async || {
         let metrics = site.http.request("GET", &site.nodes[0].metrics, "/metrics");
         let metrics =
             site.http.send(metrics, "").await.expect("the node answers").expect_status(200).body;
--- a/crates/daemon/tests/history.rs
+++ b/crates/daemon/tests/history.rs
@@ -44,8 +44,8 @@
     let other = fleet.program_owned_by(&fleet.nodes[2], ALPHA_KEY).await;
     let (mut own_answers, mut other_answers) = (Vec::new(), Vec::new());
     for sequence in 1..=6 {
-        // If an owner answered before the call was recorded, the delay would make the kill fall
-        // between the two.
+        // The delay of the platform lets the kill happen before the recording if an owner wrongly
+        // answers first.
         let kills = sequence % 2 == 0 && fleet.nodes.len() > 2;
         fleet.platform_faults(json!({ "delay_ms": if kills { 100 } else { 0 } })).await;
         let key = format!("k-{sequence}");
@@ -132,6 +132,7 @@
         call.await.expect("task ends").expect("the node answers").expect_status(200);
     }
     let executed = fleet.engine_record(0).await;
+    // A request id ends with the sequence number and the attempt of the call.
     let order: Vec<_> = executed
         .iter()
         .map(|request| request["headers"]["request-id"].as_str().expect("id").rsplit('-').nth(1))
--- a/crates/daemon/tests/keys.rs
+++ b/crates/daemon/tests/keys.rs
@@ -229,6 +229,6 @@
     status(None).await.expect("the node answers").expect_status(200);
     status(Some("no-such-key")).await.expect("the node answers").expect_status(401);
     let executed: Vec<Value> = fleet.service_record().await;
-    assert_eq!(executed.len(), 1, "only the open route ran: {executed:?}");
+    assert_eq!(executed.len(), 1, "expected only the call of the open route: {executed:?}");
     assert!(fleet.engine_record(0).await.is_empty());
 }
--- a/crates/daemon/tests/limits.rs
+++ b/crates/daemon/tests/limits.rs
@@ -66,8 +66,8 @@
     result
 }
 
-/// Returns by how many the executions after the first `skip` exceed `burst + rate * window` in the
-/// worst window.
+/// Returns the largest excess of team `alpha`'s executions over `burst + rate * window` in any
+/// window, ignoring the first `skip` recorded executions.
 async fn largest_excess(fleet: &Fleet, skip: usize, rate_per_s: f64, burst: u32) -> f64 {
     let record = fleet.service_record().await;
     let mut times: Vec<f64> = record
@@ -142,7 +142,8 @@
     assert!((2..=5).contains(&result.answered), "{result:?}");
 }
 
-/// Guards against a killed node whose share of the limit is replaced by a full burst.
+/// Guards against granting another full burst when the share of a killed node passes to another
+/// node.
 #[ntex::test]
 async fn share_of_a_killed_node_is_recovered_without_an_extra_burst() {
     let mut fleet = limited_fleet(4, 1.0, 20).await;
--- a/crates/daemon/tests/stop.rs
+++ b/crates/daemon/tests/stop.rs
@@ -68,7 +68,6 @@
     }
     for stopped in 0..3 {
         fleet.pause(std::time::Duration::from_millis(500)).await;
-        // A load balancer stops sending calls to a node that reports that it is not ready.
         fleet.nodes[0].process.signal("TERM");
         eventually("the node is draining", async || {
             let request = fleet.http.request("GET", &fleet.nodes[0].operator, "/readyz");
@@ -76,6 +75,7 @@
             (!reply.is_ok_and(|reply| reply.status == 200)).then_some(())
         })
         .await;
+        // Like a load balancer, the callers use the next node once this one is no longer ready.
         address_index.set(stopped + 1);
         let code = eventually("the node exits", async || fleet.nodes[0].process.try_exit()).await;
         assert_eq!(code, 0);
--- a/crates/daemon/tests/support/fleet.rs
+++ b/crates/daemon/tests/support/fleet.rs
@@ -210,8 +210,8 @@
         self.http.send(request, publication.to_string()).await.expect("publish answers")
     }
 
-    /// Waits until every node has a configuration, knows that all nodes are live and reports itself
-    /// settled, and all shards are served.
+    /// Waits until every node has a configuration, sees all nodes as live and reports `settled` in
+    /// its status (see `Node::is_converged`), and all shards are served.
     pub async fn wait_settled(&self) {
         eventually("the nodes have settled", async || {
             let mut shards = 0;
--- a/crates/daemon/tests/support/site.rs
+++ b/crates/daemon/tests/support/site.rs
@@ -14,7 +14,7 @@
 
 /// Key of team `alpha`, whose limit no test reaches.
 pub const ALPHA_KEY: &str = "key-of-alpha";
-/// Key of team `beta`.
+/// Key of team `beta`, which has no limit (its rate is 0).
 pub const BETA_KEY: &str = "key-of-beta";
 /// Key of team `small`, which has a burst of two requests and a rate of one in 100 seconds.
 pub const SMALL_KEY: &str = "key-of-small";
